--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,4 +1,5 @@
-//! The decisions. Types, events and actions stand in `src/interface.rs`; docs/design.md tells the mechanism.
+//! The balancer: decides which member gets which request. Types, events and actions are in
+//! `src/interface.rs`; docs/design.md describes the mechanism.
 
 mod candidates;
 mod concurrency;
@@ -15,82 +16,90 @@
 use self::member::Member;
 use crate::interface::*;
 
-/// Buckets of session keys, as many as the source's switch holds.
+/// Number of buckets that session keys are hashed to; the switch in the design that this follows has as many.
 const BUCKETS: u64 = 4096;
-/// Positions come in whole milliseconds: a commit was rounded up by less than this.
+/// Positions are in whole milliseconds, so the position of a commit was rounded up by less than this.
 const POSITION_UNIT: Micros = 1_000;
-/// Before any time that a clock shows, with room to subtract.
+/// Earlier than any time on the driver's clock, yet far enough from the minimum that subtraction can't
+/// overflow.
 const NEVER: Micros = -(1 << 60);
 const FOREVER: Micros = 1 << 60;
-/// Rounds in the shortest aim while requests are held.
+/// Number of rounds within the shortest latency target while requests are held.
 const ROUNDS_PER_AIM: i64 = 10;
-/// Paces in the shortest aim; a pace is the shortest time between rounds.
+/// Number of paces within the shortest latency target. A pace is the shortest time between two rounds.
 const PACES_PER_AIM: i64 = 50;
-/// Failure rate (moving average) above which a member is hardly drawn any more.
+/// Failure rate (moving average) above which a member is chosen only rarely.
 const ERROR_SHARE_LIMIT: f64 = 0.3;
-/// Initial concurrency window of a member, in attempts of all drivers together; each driver starts with two at least.
+/// Initial concurrency window of a member, in attempts of all drivers together. Each driver starts with a
+/// window of at least two.
 const INITIAL_WINDOW: f64 = 24.0;
-/// A window never shrinks below this share of the mean concurrency of members: less load does not cure, say, a slow link.
+/// Lower bound of a window, as a fraction of the members' mean concurrency. Long answer times that load does
+/// not cause, such as those of a slow link, don't get better with less load.
 const MIN_WINDOW_SHARE: f64 = 0.3;
-/// Nor below what allows this many attempts at a member from all drivers together; for one driver it need not exceed one.
+/// Lower bound of a window, in attempts of all drivers together. For a single driver the bound is at most one
+/// attempt.
 const MIN_FLEET_WINDOW: f64 = 4.0;
-/// Time constant of the exponential decay of sums of recent work and load, in microseconds.
+/// Time constant, in microseconds, of the exponential decay of sums over recent work and load.
 const DECAY_US: f64 = 10e6;
-/// Mean answer time, as a share of the aim, above which a member counts as crowded.
+/// Mean answer time, as a fraction of the latency target, above which a member counts as overloaded.
 const CROWDED: f64 = 0.28;
-/// Least and greatest timeout of a first attempt, as multiples of the usual answer time.
+/// Bounds of the timeout of a first attempt, as multiples of the usual answer time.
 const TIMEOUT_FACTORS: (f64, f64) = (6.0, 24.0);
-/// Share of answers that may take longer than that timeout: it is adapted to this quantile.
+/// Fraction of answers that may exceed the timeout of a first attempt; the timeout is adapted to this
+/// quantile.
 const TAIL_SHARE: f64 = 0.003;
-/// Share of a primary's window that reads which replicas could serve may fill while those are full.
+/// Fraction of a primary's window that reads may fill which replicas could serve but have no room for.
 const PRIMARY_READ_SHARE: f64 = 0.85;
-/// Growth of the limit on a cold member's concurrency over its warm-up, beside the first value; quadratic in its share.
+/// How much the concurrency limit of a cold member grows during warm-up, relative to the initial limit. The
+/// growth is quadratic in the fraction of capacity reached.
 const WARMUP_GROWTH: f64 = 3.0;
-/// Turns that a member with a window below one grants in advance to requests worth more than the mean for their work.
+/// Number of send slots by which requests worth more than the mean for their work may run ahead at a member
+/// whose window is below one.
 const MAX_TURNS_AHEAD: f64 = 2.0;
-/// Requests worth less than this share of the mean for their work count as low in worth.
+/// Requests whose worth for their work is below this fraction of the mean count as low-worth.
 const LOW_WORTH: f64 = 0.25;
-/// Share of a member's window that those may fill.
+/// Fraction of a member's window that low-worth requests may fill.
 const LOW_WORTH_ROOM: f64 = 0.25;
-/// Burst of a tenant's rate limit: its unused share is kept for this long.
+/// Burst of a tenant's rate limit: the share that the tenant left unused is kept for this long.
 const TENANT_BURST: Micros = 500_000;
-/// A read that is worth little when late is held for this share of its aim, then refused.
+/// A read that earns little after its latency target is held for this fraction of the target, then refused.
 const BRIEF_HOLD_SHARE: f64 = 0.12;
-/// One that is worth more is held for this share of its time before its first attempt, so that a repeat by its client
-/// can still be in time.
+/// A read that still earns much is held for this fraction of its client's time before its first attempt, so
+/// that a retry by the client can still be answered in time.
 const FIRST_ATTEMPT_HOLD_SHARE: f64 = 0.45;
-/// Retry budget (token bucket): tokens earned by each request, and the most that are kept. Failures can't turn into a
-/// retry storm.
+/// Retry budget (token bucket): tokens that each request adds, and the maximum number of tokens. The budget
+/// keeps failures from causing a retry storm.
 const RETRIES_PER_REQUEST: f64 = 0.2;
 const MAX_RETRY_TOKENS: f64 = 2.0;
-/// Probe budget: points that probes may cost for each request, as a share of one, and the most tokens that are kept.
+/// Probe budget (token bucket): the cost in points that probes may add to each request, and the maximum
+/// number of tokens.
 const PROBE_POINTS: f64 = 0.014;
 const MAX_PROBE_TOKENS: f64 = 8.0;
-/// Twice the longest wait of a read for a probe, in paces.
+/// The longest time that a read waits for a probe, in half paces.
 const PROBE_WAIT_PACES: i64 = 5;
-/// Paces in the first gap between probes of a suspect.
+/// Number of paces before the first probe of a suspect.
 const PROBE_GAP_PACES: i64 = 10;
-/// The longest gap between probes of a suspect.
+/// The longest time between two probes of a suspect.
 const MAX_PROBE_GAP: Micros = 4_000_000;
-/// Refused connects of late that can be accidents, as when a network resets them; more, of a
-/// member that runs, mean that its connection table is full.
+/// Refused connects (decayed count) that may be accidental, as when a network resets connections. If more are
+/// refused and the member turns out to be running, its connection table is full.
 const REFUSED_CONNECTS_TOLERATED: f64 = 2.5;
-/// A member that was down for this long may have restarted, and counts as cold.
+/// A member that was down for longer than this may have restarted, and counts as cold.
 const RESTART_TAKES: Micros = 1_000_000;
-/// A member that was heard of within this time is looked over in each round.
+/// A member that answered within this time is checked in every round.
 const ACTIVE_FOR: Micros = 1_000_000;
-/// After this long a suspect gets requests again though its probes fail.
+/// A suspect gets requests again after this time even if its probes fail.
 const SUSPECT_TRIED_AFTER: Micros = 2_000_000;
-/// Time constant with which a replica's replication lag is expected to shrink.
+/// Time constant of the assumed decay of a replica's replication lag.
 const LAG_FADES_IN: Micros = 2_000_000;
-/// Answers that are rarer than this count for more, one by one.
+/// Answers at intervals longer than this get a larger weight each in the moving averages.
 const DENSE_ANSWERS: Micros = 1_000_000;
-/// How long the weight of warm members is taken as it was summed up.
+/// How long the sum of the weights of warm members is cached.
 const WARM_SUMMED_FOR: Micros = 1_000_000;
-/// A driver counts as no younger than this.
+/// Lower bound on a driver's age in the estimate of members' load.
 const MIN_AGE: Micros = 1_000_000;
 
-/// A sum that fades with [`DECAY_US`], and as of when.
+/// A sum that decays with the time constant [`DECAY_US`], and the time at which it had this value.
 type Recent = (f64, Micros);
 
 fn fade(recent: Recent, now: Micros) -> f64 {
@@ -101,12 +110,13 @@
     settings.classes.iter().map(|c| c.aim).min().unwrap_or(0)
 }
 
-/// How long a read of this class is held that earns as little when late.
+/// How long to hold a read of a class that earns little after its latency target.
 fn brief_hold(class: &Class) -> Micros {
     (class.aim as f64 * BRIEF_HOLD_SHARE) as Micros
 }
 
-/// A replica set as the list tells it, with the requests that wait for one of its members.
+/// A group according to the member list and to the members themselves, with the requests that wait for a
+/// member of it.
 #[derive(Default)]
 struct Group {
     members: BTreeSet<MemberId>,
@@ -114,49 +124,50 @@
     held: BTreeSet<RequestId>,
 }
 
-/// What sessions whose keys fall in one bucket have written.
+/// The writes of the sessions whose keys hash to this bucket.
 #[derive(Default, Clone)]
 struct Bucket {
-    /// The latest write that is not settled.
+    /// Sequence number of the latest write whose result is not known yet.
     open: Option<u64>,
-    /// The commit position that their reads have to see.
+    /// The commit position that the sessions' reads have to see.
     position: Micros,
 }
 
-/// An attempt; it is out until it has an ending.
+/// An attempt; it is in flight until it has a result.
 struct Attempt {
     zone: ZoneId,
     sent: Micros,
     ending: Option<Ending>,
 }
 
-/// A request without its final answer, or with attempts that are still out.
+/// A request that has no final answer yet or has attempts in flight.
 #[derive(Default)]
 struct Request {
     class: ClassId,
     group: GroupId,
     bucket: Option<usize>,
     arrived: Micros,
-    /// When its client first asked, as far as that can be told of a repeat.
+    /// When the client first sent the request; estimated if the request is marked as a retry.
     began: Micros,
     deadline: Micros,
-    /// A session read's needed position; `None` without one.
+    /// The position that a read of its session needs; `None` if the session has written nothing.
     need: Option<Micros>,
-    /// Whether members check that themselves.
+    /// Whether members check the needed position themselves and reject the read if they lag.
     checked: bool,
-    /// A write's number in its bucket.
+    /// The sequence number of a write; 0 for reads.
     sequence: u64,
-    /// What it has taken of its tenant's share.
+    /// The tenant's index and the time taken from its share; `None` if the request is beyond the share.
     share: Option<(usize, Micros)>,
-    /// A replica turned it away: only the primary will do.
+    /// Whether a replica has rejected the request, so that only the primary can serve it.
     primary_only: bool,
-    /// The replica whose probe it has waited for.
+    /// The replica whose probe the request has waited for.
     asked: Option<MemberId>,
     attempts: Vec<Attempt>,
     answered: bool,
-    /// From when on another attempt may follow the closed connections of earlier ones.
+    /// The time from which another attempt may follow the closed connections of earlier ones.
     settled_at: Option<Micros>,
-    /// When the first attempt that another followed in doubt was sent: it counts for a keyed class's window throughout.
+    /// When the first attempt was sent that may have executed and was followed by another one. The window of
+    /// a keyed class is counted from this time until the request ends.
     copied_from: Option<Micros>,
 }
 
@@ -165,18 +176,18 @@
         self.attempts.iter().filter(|a| a.ending.is_none()).count()
     }
 
-    /// Whether the closes of its attempts' connections have settled.
+    /// Whether enough time has passed since connections of earlier attempts were closed.
     fn is_settled(&self, now: Micros) -> bool {
         self.settled_at.is_none_or(|at| now >= at)
     }
 
-    /// The first attempt that may have run or is still out.
+    /// The first attempt that may have executed, which includes those in flight.
     fn doubt(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.ending.is_some_and(Ending::never_ran))
     }
 }
 
-/// The decisions of one driver.
+/// Decides where one driver sends its requests.
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
@@ -185,50 +196,54 @@
     buckets: Vec<Bucket>,
     sequence: u64,
     requests: BTreeMap<RequestId, Request>,
-    /// Open requests by the time at which their final answer falls due.
+    /// Open requests by the time at which their final answer is due.
     due: BTreeSet<(Micros, RequestId)>,
-    /// Held requests that are looked at again at a time: a close settles then, or a probe has been waited for long enough.
+    /// Held requests by the time at which to try again: when the close of a connection has taken effect, or
+    /// when a probe has been waited for long enough.
     dispatch_due: BTreeSet<(Micros, RequestId)>,
-    /// Work of each class: its median answer time, raised by members that are not crowded alone.
+    /// Estimated work per class: the median answer time. Answers of overloaded members do not raise it.
     work: Vec<f64>,
-    /// The usual wait of each class's clients.
+    /// Average time that clients of each class wait for an answer.
     waits: Vec<f64>,
-    /// How many usual answer times nearly all answers take at most.
+    /// Multiple of the usual answer time that nearly all answers stay below.
     tail: f64,
-    /// Tokens left in the budgets of retries and probes.
+    /// Tokens left in the retry budget and in the probe budget.
     retries: f64,
     probes: f64,
     ask_at: Option<Micros>,
     list_calls: ListCalls,
-    /// Members with work of ours, heard of lately or not well; groups that hold requests.
+    /// Members to check in each round: those that have attempts in flight, answered recently or are suspects.
+    /// Then the groups that hold requests.
     watched: BTreeSet<MemberId>,
     holding: BTreeSet<GroupId>,
-    /// The shortest pace of the rounds: what is short beside the shortest aim.
+    /// The shortest time between two rounds, a small fraction of the shortest latency target.
     pace: Micros,
-    /// Until when connections count as scarce: idle ones are closed, and one refused convicts nobody.
+    /// The time until which connections count as scarce: idle ones are closed, and a refused connect does not
+    /// make a member a suspect.
     connections_scarce_until: Micros,
-    /// When a suspect is probed next.
+    /// When the next probe of a suspect is due.
     probe_due: Micros,
     /// When the next round is due.
     timer: Micros,
-    /// The latest time for which a timer was asked because requests are looked at again then.
+    /// The latest time for which a timer was set because held requests are due to be tried again.
     resume_timer: Micros,
-    /// The end of the latest time for which the driver stood still.
+    /// The time at which the driver's latest stall ended.
     stalled_until: Micros,
     /// When the driver started.
     born: Micros,
-    /// Answered work of late, the weight of warm members as of some time, and the mean merit of requests.
+    /// The decayed sum of recently answered work, the cached weight of warm members with the time it was
+    /// computed, and the mean of requests' worth per work.
     served: Recent,
     warm: (f64, Micros),
     merit: f64,
-    /// How crowded primaries were of late, as shares of aims.
+    /// Moving average of primaries' answer times, as a fraction of the latency target.
     crowd: Recent,
-    /// From when on the next request of each tenant counts as within its share.
+    /// For each tenant, the time from which its next request counts as within its share.
     shares: Vec<Micros>,
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet: buckets settled, nothing owed.
+    /// Creates a balancer that knows no members and has no requests.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
@@ -264,22 +279,23 @@
         }
     }
 
-    /// How many members it knows, and of these how it stands with them.
+    /// Counts the known members, the listed ones and those that get no new attempts.
     pub fn targets(&self) -> Targets {
         let listed = self.members.values().filter(|m| m.entry.phase != Phase::Removed);
         let avoided = listed.clone().filter(|m| !m.usable()).count();
         Targets { known: self.members.len(), listed: listed.count(), avoided }
     }
 
-    /// Whether an open request is beyond its tenant's share.
+    /// Whether an open request exceeds its tenant's share.
     pub fn is_beyond(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|r| r.share.is_none()) && !self.shares.is_empty()
     }
 
-    /// Takes one event and appends what is to be done about it.
+    /// Processes one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let due = now >= self.timer;
-        // A driver that stood still finds all that came meanwhile at once: the silence was its own.
+        // After a stall of the driver, everything that arrived meanwhile is delivered at once. Members must
+        // not count as silent for the time of the stall.
         if now > self.timer + self.settings.tick + self.pace {
             self.stalled_until = now;
         }
@@ -302,7 +318,8 @@
             self.timer = next;
             actions.push(Action::Timer { tag: TimerTag(0), at: next });
         }
-        // No round: what is held beside these is not to be shed any sooner for them.
+        // This timer only dispatches and runs no full round, which would shed other held requests earlier
+        // than planned.
         let resume = self.dispatch_due.first().map(|(at, _)| (*at).max(now + 1));
         if let Some(at) = resume.filter(|at| *at != self.resume_timer) {
             self.resume_timer = at;
@@ -310,7 +327,8 @@
         }
     }
 
-    /// Nothing due, no timer: an idle driver costs nothing. What is out is looked at as answers come.
+    /// When the next round is due. With nothing to do no timer is set, so that an idle driver uses no CPU
+    /// time; attempts in flight are checked about once per usual answer time.
     fn next_round(&self, now: Micros) -> Micros {
         let aim = shortest_aim(&self.settings);
         let held =
@@ -329,7 +347,8 @@
         let Some(c) = self.settings.classes.get(class.0) else {
             return actions.push(Action::Fail { request: id });
         };
-        // A repeat has what its client's first try has left: clients of a class wait about equally long.
+        // A retry has the time that remains of its client's first try. Clients of a class wait for about the
+        // same time, so the difference to the usual time tells when the first try began.
         let (wait, usual) = ((deadline - now) as f64, &mut self.waits[class.0]);
         *usual += if repeat { 0.0 } else { 0.05 * (wait - *usual) };
         let began = if repeat { now - (*usual - wait).clamp(0.0, c.deadline as f64) as Micros } else { now };
@@ -358,7 +377,8 @@
         self.dispatch(now, group, actions);
     }
 
-    /// Counts a request, unless its tenant has used up this driver's part of its share: whose, and how much of its time.
+    /// Charges a request to its tenant's share on this driver. Returns the tenant's index and the time
+    /// charged, or `None` if the share is used up.
     fn take_share(&mut self, now: Micros, tenant: Option<TenantId>) -> Option<(usize, Micros)> {
         let t = tenant?.0;
         let rate = self.settings.tenants.get(t)?.rate.max(1e-6) / f64::from(self.settings.fleet);
@@ -374,7 +394,7 @@
         let class = self.requests.get(&id).map(|r| &self.settings.classes[r.class.0]);
         let write = class.is_some_and(|c| c.read == ReadLevel::Write);
         if let Some(note) = note {
-            // A served write's position was rounded up.
+            // The position of a successful write was rounded up.
             let position =
                 note.position.map(|p| if write && ending == Ending::Ok { p - POSITION_UNIT } else { p });
             let told = Report { position, primary: Some(note.primary), ..Report::default() };
@@ -402,7 +422,8 @@
         if last || r.answered {
             self.close(now, id, actions);
         } else if r.out() == 0 {
-            // A miss costs no member work, an error costs one that has it to spare; all else draws on the budget.
+            // A rejected attempt costs a member no work, and an error costs little at a member that is not
+            // overloaded. All other retries use up the retry budget.
             let calm = self.members.get(&member).is_some_and(|m| m.strain <= CROWDED);
             let free = write && ending.never_ran() || calm && ending == Ending::Error;
             self.retry_or_give_up(now, id, ending, free || ending == Ending::Miss, actions);
@@ -416,7 +437,8 @@
         m.probing = None;
         let group = m.entry.group;
         if ending == Ending::Ok {
-            // It refused a connection and runs, too soon for a new start: its table is full of idle ones.
+            // The member refused connections and yet is running, too soon to have restarted: its connection
+            // table is full of idle connections.
             if m.suspect
                 && m.down
                 && now - m.ill_since < RESTART_TAKES
@@ -426,13 +448,14 @@
             }
             m.recover(now);
         }
-        // A failed probe convicts nobody: members may serve while their probes fail.
+        // A failed probe alone does not make a member a suspect: members may serve requests while their
+        // probes fail.
         self.learn_answer(now - elapsed, id, report);
         self.dispatch(now, group, actions);
     }
 }
 
-/// Spreads keys over buckets (the finisher of splitmix64).
+/// Hashes a key (the finalizer of splitmix64).
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/balance/candidates.rs
+++ b/src/balance/candidates.rs
@@ -1,17 +1,19 @@
-//! What is known of positions and roles, which members may serve a request, and the choice among them.
+//! Tracks members' positions and roles, determines which members may serve a request, and chooses one of
+//! them.
 
 use super::member::Member;
 use super::{Balancer, Request, DECAY_US, ERROR_SHARE_LIMIT, FOREVER, LAG_FADES_IN, NEVER};
 use crate::interface::{ClassId, GroupId, MemberId, Micros, ReadLevel, Report};
 
 impl Balancer {
-    /// The report that an answer to a question of that time brought, if it did.
+    /// Records the report in the answer to a request or probe sent at `asked`, if the answer contained one.
     pub(super) fn learn_answer(&mut self, asked: Micros, id: MemberId, report: Option<Report>) {
         let Some(report) = report else { return };
         self.learn(asked, report.position.map_or(asked, |p| p.min(asked)), id, report);
     }
 
-    /// A report may be older than the probe that brought it: its role counts as of its own position.
+    /// Records a member's position and role. A report may be older than the probe that requested it, so the
+    /// role is taken to be valid as of the report's own position.
     pub(super) fn learn(&mut self, now: Micros, as_of: Micros, id: MemberId, told: Report) {
         let Some(m) = self.members.get_mut(&id) else { return };
         if let Some(p) = told.position {
@@ -35,7 +37,7 @@
         }
     }
 
-    /// The position that a replica must have reached to serve this; `None` where only the primary will do.
+    /// The position that a replica must have reached to serve the request; `None` if only the primary can.
     pub(super) fn need(&self, now: Micros, r: &Request) -> Option<Micros> {
         let unsettled = r.bucket.is_some_and(|b| self.buckets[b].open.is_some());
         match self.settings.classes[r.class.0].read {
@@ -48,21 +50,23 @@
         }
     }
 
-    /// The members that may serve this request now: replicas that qualify, or else the primary.
+    /// The members that may serve the request now: suitable replicas, or else the primary.
     pub(super) fn eligible(&self, now: Micros, r: &Request) -> Vec<MemberId> {
         let primary = self.groups.get(&r.group).and_then(|g| g.primary);
         let primary = primary.filter(|p| self.members.get(p).is_some_and(Member::usable));
         let c = &self.settings.classes[r.class.0];
         let mut found = match self.need(now, r) {
             Some(need) => self.replicas(r.group, |m| m.position >= need),
-            // A write looks for a lost primary itself, all its patience long: a miss tells the role and costs no work.
+            // While no primary is known, a write tries replicas until its deadline: a member that is not the
+            // primary rejects it at no cost, and the rejection tells the member's role.
             None if primary.is_none() && c.read == ReadLevel::Write => {
                 let gap = c.deadline / i64::from(self.settings.allowed.attempts.max(1));
                 self.replicas(r.group, |m| m.role.is_none_or(|(_, at)| now - at > gap))
             }
             None => Vec::new(),
         };
-        // Where members check reads, one slightly behind is tried, else one that may have caught up: a miss is cheap.
+        // Where members check reads themselves, a replica that lags slightly is tried, or else one that may
+        // have caught up by now: a rejected attempt costs little.
         let slack = self.settings.behind.slack().filter(|_| r.checked);
         for past in [FOREVER, LAG_FADES_IN] {
             if let (true, Some(need), Some(slack)) = (found.is_empty(), self.need(now, r), slack) {
@@ -79,8 +83,8 @@
         g.members.iter().filter(|id| Some(**id) != g.primary).filter(fits).copied().collect()
     }
 
-    /// Power of two choices: two members are drawn by weight and health, and the one with less of our work is taken. Idle drivers
-    /// must not all turn to the best one.
+    /// Power of two choices: draws two members by weight and health and takes the one with less work of this
+    /// driver. Always taking the best member would make all idle drivers choose the same one.
     pub(super) fn pick(
         &mut self,
         now: Micros,
--- a/src/balance/concurrency.rs
+++ b/src/balance/concurrency.rs
@@ -1,4 +1,4 @@
-//! How much a member may hold: windows, cold starts, crowding.
+//! Limits on how many attempts a member may hold, from its window, cold start and load.
 
 use super::member::Member;
 use super::{
@@ -8,7 +8,7 @@
 use crate::interface::{ClassId, MemberId, Micros};
 
 impl Balancer {
-    /// Share of its capacity that a member may have reached since its start.
+    /// Fraction of its capacity that a member is assumed to have reached since its start.
     pub(super) fn share(&self, now: Micros, m: &Member) -> f64 {
         let rules = &self.settings.rules;
         let Some(since) = m.entry.since else { return 1.0 };
@@ -16,7 +16,8 @@
         rules.cold_share + (1.0 - rules.cold_share) * warm.clamp(0.0, 1.0)
     }
 
-    /// Attempts that a member may hold in the mean: a cold one its share of what warm ones bear, by half until it answers.
+    /// The number of attempts that a member may hold on average. A cold member's limit is derived from its
+    /// reached capacity and what warm members hold; it is reduced until the member has answered.
     pub(super) fn concurrency_limit(&self, now: Micros, m: &Member) -> f64 {
         let share = self.share(now, m);
         if share >= 1.0 {
@@ -28,14 +29,16 @@
         m.window.min(share * m.weight() * self.borne(now) * spare).max(1e-6)
     }
 
-    /// Attempts of ours that a warm member of weight one holds in the mean, as served of late.
+    /// The mean number of this driver's attempts that a warm member of weight one has held recently, by
+    /// successful answers.
     pub(super) fn borne(&self, now: Micros) -> f64 {
-        // A young driver has seen only so much of the time that its memory spans.
+        // A driver that started recently has seen only part of the time span that the decayed sum covers.
         let seen = DECAY_US * (1.0 - (-((now - self.born).max(MIN_AGE) as f64) / DECAY_US).exp());
         fade(self.served, now) / seen / self.warm.0.max(0.01)
     }
 
-    /// Whether a member takes one more. A limit below one attempt is kept in time, one out at a time; what is worth more may go ahead.
+    /// Whether a member may get another attempt. A limit below one is enforced by spacing attempts in time,
+    /// with one in flight at once; requests of more worth may be sent ahead of their slot.
     pub(super) fn admits(&self, now: Micros, m: &Member, class: ClassId, merit: f64) -> bool {
         let limit = self.concurrency_limit(now, m);
         if limit >= 1.0 {
@@ -49,12 +52,13 @@
         few && (now - m.turn) as f64 >= self.gap(now, class, m) * (1.0 - ahead)
     }
 
-    /// Whether primaries at large are crowded: of one alone a driver of a large fleet hears too seldom to tell in time.
+    /// Whether primaries in general are overloaded. In a large fleet a driver gets too few answers from a
+    /// single primary to notice its overload in time.
     pub(super) fn crowded(&self, now: Micros) -> bool {
         f64::from(self.settings.fleet) > INITIAL_WINDOW && fade(self.crowd, now) > CROWDED
     }
 
-    /// Whether a primary has more room than what only it can do is likely to need.
+    /// Whether a primary has more room than the requests that only it can serve are likely to need.
     pub(super) fn spares(&self, now: Micros, id: MemberId) -> bool {
         let m = self.members.get(&id).filter(|m| m.usable() && m.strain <= CROWDED && !self.crowded(now));
         m.is_some_and(|m| {
@@ -62,7 +66,8 @@
         })
     }
 
-    /// The time between two turns: a cold member's limit bounds its work, a warm one's what it holds, by its latest answers.
+    /// The time between two attempts at a member whose limit is below one. A cold member's limit bounds its
+    /// work; a warm member's bounds the attempts it holds, estimated by its latest answer times.
     pub(super) fn gap(&self, now: Micros, class: ClassId, m: &Member) -> f64 {
         let strain = if self.share(now, m) < 1.0 { 0.0 } else { fade((m.strain, m.heard), now) };
         let takes = strain * self.settings.classes[class.0].aim as f64;
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -1,4 +1,4 @@
-//! Requests that are held find their members, the worthiest first.
+//! Assigns held requests to members, those of the highest worth first.
 
 use std::collections::BTreeSet;
 
@@ -10,18 +10,19 @@
 use crate::permission::{may_begin, AttemptLimits, Doubt, RequestFacts};
 
 impl Balancer {
-    /// Sends what the group holds, the worthiest for its work first, as far as members have room.
+    /// Sends the requests that the group holds as far as members have room, in order of worth per work.
     pub(super) fn dispatch(&mut self, now: Micros, group: GroupId, actions: &mut Vec<Action>) {
         let Some(g) = self.groups.get(&group) else { return };
         let primary = g.primary;
         let requests = g.held.iter().filter_map(|id| self.requests.get(id).map(|r| (*id, r)));
         let requests = requests.filter(|(_, r)| r.is_settled(now));
         let mut held: Vec<_> = requests.map(|(id, r)| (self.merit(now, r), (r.arrived, id))).collect();
-        // Of equals the newest: under overload it has the most time left.
+        // Of equal requests the newest comes first: under overload it has the most time left.
         held.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
         let mut full = BTreeSet::new();
         for (worth, (_, id)) in held {
-            // What is worth no more than one of its kind that found no room finds none: many may wait for a primary.
+            // If a request found no room, later requests of the same kind are worth no more and are skipped:
+            // many may wait for a primary, and trying each would be slow.
             let kind = self.requests.get(&id).map(|r| (r.class, r.primary_only));
             if full.contains(&kind) {
                 continue;
@@ -29,7 +30,8 @@
             let Some(mut r) = self.requests.remove(&id) else { continue };
             let among = self.eligible(now, &r);
             let lone = among.iter().all(|to| primary == Some(*to));
-            // Reads that fall back on the primary leave its turns to what only it can do.
+            // While primaries are overloaded, reads that could fall back on the primary leave it to requests
+            // that only it can serve.
             let read = self.settings.classes[r.class.0].read;
             let off = matches!(read, ReadLevel::Bounded(_) | ReadLevel::Any) && self.crowded(now);
             if lone && (self.wait_for_probe(now, id, &mut r, actions) || off) {
@@ -39,11 +41,12 @@
             let only = matches!(read, ReadLevel::Write | ReadLevel::Fresh);
             let worth = if lone && !only { worth / 2.0 } else { worth };
             let mut target = self.pick(now, r.class, worth, &among);
-            // Where those have no room, a primary with room to spare takes reads too: a few recent ones would drown.
+            // If the replicas have no room, a primary with room to spare takes reads too. Otherwise the few
+            // replicas that are recent enough would be overloaded.
             if let (None, false, Some(p)) = (target, lone, primary.filter(|p| self.spares(now, *p))) {
                 target = self.pick(now, r.class, worth / 2.0, &[p]);
             }
-            // Session reads differ in what they need.
+            // Session reads are not skipped, since they differ in the position they need.
             if target.is_none() && read != ReadLevel::Session {
                 full.insert(kind);
             }
@@ -59,7 +62,8 @@
         }
     }
 
-    /// Sends what has waited for a close to settle, or for a probe. The former is not shed before: that wait was not its own.
+    /// Dispatches requests that have waited for a connection's close to take effect or for a probe. The
+    /// former are not shed earlier, because they could not have been sent.
     pub(super) fn dispatch_resumed(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.dispatch_due.first().is_none_or(|(at, _)| now < *at) {
             return;
@@ -71,7 +75,8 @@
         groups.into_iter().for_each(|group| self.dispatch(now, group, actions));
     }
 
-    /// A read that only ignorance keeps from replicas waits for one probe's answer: with many drivers primaries drown.
+    /// Makes a read wait for one probe's answer if replicas are excluded only because their positions are not
+    /// known to be recent enough. With many drivers, primaries would be overloaded by such reads.
     pub(super) fn wait_for_probe(
         &mut self,
         now: Micros,
@@ -84,7 +89,8 @@
             let m = self.members.get(&asked);
             return m.and_then(|m| m.probing).is_some_and(|sent| now < self.waited_until(sent));
         }
-        // Drawn among those that should be recent enough: all drivers must not ask the same one.
+        // Drawn at random among the replicas that are likely to be recent enough, so that not all drivers
+        // probe the same one.
         let old = |m: &Member| m.outlook(now, LAG_FADES_IN) >= need && now - m.heard_position > self.pace * 2;
         let likely = self.replicas(r.group, old);
         let Some(to) = self.rng.choice(&likely).copied() else { return false };
@@ -97,14 +103,14 @@
         true
     }
 
-    /// Until when a probe is waited for that was sent then.
+    /// The time until which reads wait for a probe that was sent at `sent`.
     fn waited_until(&self, sent: Micros) -> Micros {
         sent + self.pace * PROBE_WAIT_PACES / 2
     }
 
-    /// Worth for work; what is late already counts with what it still earns.
+    /// Worth per work. A late request counts with what it can still earn.
     pub(super) fn merit(&self, now: Micros, r: &Request) -> f64 {
-        // Judged by work: a queue at the primary must not make its writes look late.
+        // Lateness is estimated by the work alone: a queue at the primary must not make its writes look late.
         let c = &self.settings.classes[r.class.0];
         let late = now + self.work[r.class.0] as Micros > r.began + c.aim;
         let share = r.share.map_or(self.settings.over_share_worth, |_| 1.0);
@@ -122,7 +128,8 @@
             effect: self.settings.classes[r.class.0].effect,
             deadline: r.deadline,
             answered: r.answered,
-            // Of one whose client has left the driver tells, and it is closed.
+            // When a client leaves, the driver reports it and the request is closed, so that this is never
+            // reached.
             client_left: false,
             begun: r.attempts.len() as u32,
             out: r.out() as u32,
@@ -152,7 +159,8 @@
         if let (Some(b), true) = (r.bucket, r.sequence > 0) {
             self.buckets[b].open = self.buckets[b].open.max(Some(r.sequence));
         }
-        // A connection may fall silent while its member serves on: a first attempt waits no longer than nearly all take.
+        // A connection may stall while its member goes on serving, so a first attempt waits only as long as
+        // nearly all answers take.
         let tail = if m.strain > CROWDED { TIMEOUT_FACTORS.1 } else { self.tail };
         let patience = (work * m.slow.max(1.0) * tail) as Micros;
         let first = attempt == 0 && self.settings.classes[r.class.0].effect != Effect::Unsafe;
--- a/src/balance/list_calls.rs
+++ b/src/balance/list_calls.rs
@@ -1,68 +1,70 @@
-//! When the list of members is asked for again after a call for it has failed.
+//! Schedules the next call for the member list after a failed one.
 
 use crate::interface::Micros;
 
-/// A call that told a list and stood for this long was sound: what ended it passes by itself.
+/// A call that delivered a list and lasted this long counts as healthy: what ended it is likely to be
+/// transient.
 const STABLE_AFTER: Micros = 1_000_000;
-/// The shortest wait is drawn up to this long, and longer in large fleets.
+/// Lower bound of the initial backoff, which is longer in large fleets.
 const FIRST_WAIT: Micros = 50_000;
-/// So many calls a second at most come from a whole fleet whose calls ended at once.
+/// Upper bound on the calls per second from a whole fleet whose calls ended at the same time.
 const FLEET_CALLS_PER_SECOND: i64 = 20_000;
-/// The wait is drawn up to this long after many failures in a row.
+/// Upper bound of the backoff after many consecutive failures.
 const LONGEST_WAIT: Micros = 2_000_000;
-/// Doublings of the wait; no more are needed to reach the longest.
+/// Number of doublings after which the backoff has reached its upper bound.
 const MOST_DOUBLINGS: u32 = 6;
-/// Calls in a row whose connection broke that are followed by another one after the shortest wait.
+/// Number of consecutive calls with broken connections after which the next call still follows within the
+/// initial backoff.
 const QUICK_CALLS: u32 = 4;
 
 /// How a call for the list has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallEnd {
-    /// The service refused or ended it, or was silent.
+    /// The service refused or ended the call, or did not respond.
     Refused,
-    /// Its connection broke: the service may be well.
+    /// The connection broke; the service may be healthy.
     Broken,
 }
 
-/// The calls for the list: exponential backoff with jitter, which a sound call resets.
+/// State of the calls for the member list: exponential backoff with jitter, reset by a healthy call.
 #[derive(Debug)]
 pub(super) struct ListCalls {
-    /// Failures since the latest sound call, and how many of them were broken connections.
+    /// Failures since the latest healthy call, and how many of them were broken connections.
     failures: u32,
     broken: u32,
     asked_at: Micros,
-    /// A list has come since the latest failure.
+    /// Whether a list has arrived since the latest failure.
     heard: bool,
     first_wait: Micros,
 }
 
 impl ListCalls {
-    /// The calls of one driver of a fleet of this size. Until a call was sound the wait behind a refusal is the longest: drivers that
-    /// start together must not crowd out each other.
+    /// Creates the state for a driver in a fleet of this size. Until the first healthy call the backoff after
+    /// a refusal is at its maximum, so that drivers that start at the same time do not overload the service.
     pub(super) fn new(now: Micros, fleet: u32) -> Self {
         let spread = i64::from(fleet) * 1_000_000 / FLEET_CALLS_PER_SECOND;
         let first_wait = spread.clamp(FIRST_WAIT, LONGEST_WAIT);
         ListCalls { failures: MOST_DOUBLINGS, broken: 0, asked_at: now, heard: false, first_wait }
     }
 
-    /// A call is made.
+    /// Records that a call is made.
     pub(super) fn asked(&mut self, now: Micros) {
         self.asked_at = now;
     }
 
-    /// A list has come.
+    /// Records that a list has arrived.
     pub(super) fn heard(&mut self) {
         self.heard = true;
     }
 
-    /// The call has ended: gives when the next one is to be made.
+    /// Records that the call has ended and returns when to make the next one.
     pub(super) fn failed(&mut self, now: Micros, end: CallEnd, rng: &mut fastrand::Rng) -> Micros {
         let sound = std::mem::take(&mut self.heard) && now - self.asked_at >= STABLE_AFTER;
         if sound {
             (self.failures, self.broken) = (0, 0);
         }
-        // What was written to a call counts as told though its connection broke: the next one goes out as soon as the fleet's calls
-        // allow.
+        // A broken connection may have lost a list that the service considers delivered, so the next call is
+        // made as soon as the fleet's call rate allows.
         let quick = sound || end == CallEnd::Broken && self.broken < QUICK_CALLS;
         self.broken += u32::from(end == CallEnd::Broken);
         if quick {
--- a/src/balance/member.rs
+++ b/src/balance/member.rs
@@ -1,49 +1,53 @@
-//! One member as the balancer knows it: its health, its position, its window.
+//! State of one member as the balancer knows it: health, position and concurrency window.
 
 use std::collections::BTreeMap;
 
 use super::{fade, Recent, CROWDED, DECAY_US, INITIAL_WINDOW, NEVER, RESTART_TAKES};
 use crate::interface::{ClassId, Entry, Micros, RequestId};
 
-/// The least weight that a member counts with, whatever the list says.
+/// Lower bound of a member's weight, whatever the list says.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// What is known of one member.
+/// What is known about one member.
 #[derive(Default)]
 pub(super) struct Member {
     pub(super) entry: Entry,
-    /// The rule on drains forbids sends: listed as draining, or gone where that binds.
+    /// Whether the drain rule forbids new attempts: the member is listed as draining, or is gone where that
+    /// counts.
     pub(super) barred: bool,
     pub(super) held_out: bool,
     pub(super) position: Micros,
     pub(super) heard_position: Micros,
-    /// Its last word on its role, and as of when.
+    /// The role that the member last reported, and the time as of which it is valid.
     pub(super) role: Option<(bool, Micros)>,
-    /// Attempts out there, oldest first.
+    /// Attempts in flight at the member, oldest first.
     pub(super) out: BTreeMap<(Micros, RequestId, u32), ClassId>,
     pub(super) heard: Micros,
-    /// Answer times against those of the class at large; answer times against aims; share of failures.
+    /// Moving averages: answer time relative to the class's usual one; answer time as a fraction of the
+    /// latency target; failure rate.
     pub(super) slow: f64,
     pub(super) strain: f64,
     pub(super) errors: f64,
     pub(super) window: f64,
-    /// Below one the window thins in time: when its last turn was used.
+    /// When the last send slot was used. A window below one is enforced by spacing attempts in time.
     pub(super) turn: Micros,
     pub(super) cut_at: Micros,
-    /// Nothing new until then: it turned work away unseen.
+    /// No new attempts until this time, because the member rejected some for lack of room.
     pub(super) pause: Micros,
-    /// What we send it, as attempts held in the mean, and as of when.
+    /// Work that this driver sends to the member (decayed sum).
     pub(super) busy: Recent,
-    /// Nothing new goes to a suspect.
+    /// Whether the member is suspected to have failed; suspects get no new attempts.
     pub(super) suspect: bool,
-    /// Since when it is not well, and whether it refused connections, so may come back cold.
+    /// When it became a suspect or last recovered, and whether it refused connections, in which case it may
+    /// have restarted and be cold.
     pub(super) ill_since: Micros,
     pub(super) down: bool,
-    /// When a connection of it last broke while it was heard otherwise; connects refused of late.
+    /// When one of its connections last broke while it still answered on others; decayed count of refused
+    /// connects.
     pub(super) last_broken: Micros,
     pub(super) refused: Recent,
     pub(super) probe_due: Micros,
-    /// When the probe that is still out was sent.
+    /// When the probe that is in flight was sent.
     pub(super) probing: Option<Micros>,
 }
 
@@ -64,18 +68,20 @@
         }
     }
 
-    /// What it told of its data and its role was of another group.
+    /// Forgets the position and the role, which belonged to another group.
     pub(super) fn forget_data(&mut self) {
         (self.position, self.heard_position, self.role) = (NEVER, NEVER, None);
     }
 
-    /// Where its position should be by now if its lag fades within `past`; one never heard of counts as recent.
+    /// Estimates the member's current position, assuming that its lag decays with the time constant `past`. A
+    /// member without any report is assumed to be up to date.
     pub(super) fn outlook(&self, now: Micros, past: Micros) -> Micros {
         let (age, lag) = ((now - self.heard_position) as f64, self.heard_position - self.position);
         now - (lag as f64 * (-age / past as f64).exp()) as Micros
     }
 
-    /// Answer times near the aim mean a queue there: the window shrinks, at most once an answer time.
+    /// Updates the answer time average and adapts the window. Answer times close to the latency target mean
+    /// that requests queue at the member; the window then shrinks, at most once per answer time.
     pub(super) fn strain(&mut self, now: Micros, elapsed: Micros, ratio: f64, age: f64, least: f64) {
         let fresh = 1.0 - (-age).exp();
         self.strain += fresh.max(0.1) * (ratio - self.strain);
@@ -89,7 +95,7 @@
         }
     }
 
-    /// The window shrinks from what is used: what is out there or, where that is mostly nothing, the mean.
+    /// Shrinks the window from its used part: the attempts in flight or, if there are none, the recent mean.
     pub(super) fn cut(&mut self, now: Micros, to: f64, least: f64) {
         let mean = 2.0 * fade(self.busy, now) / DECAY_US;
         let used = if self.out.is_empty() { mean } else { self.out.len() as f64 + 1.0 };
@@ -97,26 +103,27 @@
         self.cut_at = now;
     }
 
-    /// Attempts out there, oldest first; those from before its latest recovery wait on connections that are silent.
+    /// Attempts in flight, oldest first, without those sent before the latest suspicion or recovery: their
+    /// connections are likely to have stalled.
     pub(super) fn held(&self) -> impl Iterator<Item = (Micros, ClassId)> + '_ {
         self.out.range((self.ill_since, RequestId(0), 0)..).map(|(at, class)| (at.0, *class))
     }
 
-    /// Its weight as listed, or the least one.
+    /// The listed weight, at least [`MIN_WEIGHT`].
     pub(super) fn weight(&self) -> f64 {
         self.entry.weight.max(MIN_WEIGHT)
     }
 
-    /// Whether it may get new requests.
+    /// Whether the member may get new attempts.
     pub(super) fn usable(&self) -> bool {
         !self.barred && !self.suspect && !self.held_out
     }
 
-    /// An answer clears a suspect; one that was down that long may have started anew, and counts as cold.
+    /// Clears a suspicion. A member that was down for long may have restarted and counts as cold.
     pub(super) fn recover(&mut self, now: Micros) {
         if self.suspect {
             self.suspect = false;
-            // Not below one: suspicions in a row must not thin it to nothing.
+            // Not below one: repeated suspicions must not shrink the window towards zero.
             self.window = self.window.min((self.window / 2.0).max(1.0));
             if self.down && now - self.ill_since > RESTART_TAKES {
                 (self.entry.since, self.turn) = (self.entry.since.max(Some(now)), now);
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -1,4 +1,4 @@
-//! Lists of members and operators' words: who is in which group, who is barred, who has started.
+//! Processes member lists and operators' maintenance commands: group membership, drains and restarts.
 
 use std::collections::BTreeSet;
 
@@ -32,7 +32,8 @@
         self.forget();
     }
 
-    /// Nothing new goes there until the call back. Restarted meanwhile, it is no suspect, cold, and has its turn.
+    /// Holds a member out or readmits it. A readmitted member has restarted: it is not a suspect, counts as
+    /// cold, and may get an attempt at once.
     pub(super) fn on_maintenance(&mut self, now: Micros, id: MemberId, out: bool) {
         let Some(m) = self.members.get_mut(&id) else { return };
         if std::mem::replace(&mut m.held_out, out) && !out {
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Members come and go as long as the driver lives: what is gone and owes nothing takes no more room.
+    /// Forgets removed members without attempts in flight. Members come and go during a driver's life, so
+    /// their state must not accumulate.
     pub(super) fn forget(&mut self) {
         let gone = |m: &Member| m.barred && m.entry.phase == Phase::Removed && m.out.is_empty();
         let left = self.members.iter().filter(|(_, m)| gone(m)).map(|(id, m)| (*id, m.entry.group));
@@ -59,7 +61,7 @@
 
     pub(super) fn list(&mut self, now: Micros, entry: Entry) {
         let (id, group) = (entry.member, entry.group);
-        // Rebuilt under its name for another group, it has none of its former group's data.
+        // A member that was rebuilt under its old name in another group has none of its former group's data.
         if let Some(former) = self.members.get(&id).map(|m| m.entry.group).filter(|former| *former != group) {
             self.leave(id, former);
             self.members.entry(id).and_modify(Member::forget_data);
@@ -72,13 +74,14 @@
         m.barred = entry.phase == Phase::Draining || entry.phase == Phase::Removed && binds;
         let started = entry.since > m.entry.since;
         m.entry = Entry { since: entry.since.max(m.entry.since), ..entry };
-        // The list is hearsay: it names a primary only where no member's own word says otherwise.
+        // The list may be outdated: it determines the primary only if no report of a member contradicts it.
         let said_no = m.role.is_some_and(|(primary, _)| !primary);
         let known = g.primary.and_then(|p| self.members.get(&p));
         if self.members[&id].entry.leader && !said_no && known.is_none_or(|p| p.suspect) {
             self.groups.entry(group).or_default().primary = Some(id);
         }
-        // Drivers that learn together of a start must not turn to it together: the first turn is drawn.
+        // Drivers that learn of a start at the same time must not all send to the member at once, so the
+        // first slot is drawn at random.
         if let (true, Some(m)) = (started, self.members.get(&id)) {
             let gap = self.fastest() as f64 / self.concurrency_limit(now, m);
             let drawn = (self.rng.f64() * gap.min(DECAY_US)) as Micros;
--- a/src/balance/outcome.rs
+++ b/src/balance/outcome.rs
@@ -1,4 +1,4 @@
-//! What endings say of members, and what becomes of requests whose attempts have ended.
+//! Processes the results of attempts: updates members' health, and retries, refuses or closes requests.
 
 use super::{
     brief_hold, fade, Balancer, Request, CROWDED, DENSE_ANSWERS, MIN_FLEET_WINDOW, MIN_WINDOW_SHARE,
@@ -9,13 +9,13 @@
 };
 
 impl Balancer {
-    /// Updates the member's failure rate, answer times and concurrency window by an outcome.
+    /// Updates the member's failure rate, answer times and concurrency window from the result of an attempt.
     pub(super) fn update_health(&mut self, now: Micros, outcome: &Outcome, class: ClassId) {
         let Outcome { member: id, ending, elapsed, .. } = *outcome;
         let (borne, fleet) = (self.borne(now), f64::from(self.settings.fleet.max(1)));
         let share = elapsed as f64 / (self.settings.classes[class.0].aim as f64).max(1.0);
         let Some(m) = self.members.get_mut(&id) else { return };
-        // A client that waits for little says little of the member.
+        // If the client waited only briefly, a timeout says little about the member.
         let late = matches!(ending, Ending::Timeout | Ending::Cancelled) && share > 2.0 * CROWDED;
         let primary = self.groups.get(&m.entry.group).is_some_and(|g| g.primary == Some(id));
         if primary && (late || matches!(ending, Ending::Ok | Ending::Full)) {
@@ -23,7 +23,8 @@
             let fresh = (1.0 - ((self.crowd.1 - now) as f64 / DENSE_ANSWERS as f64).exp()).max(0.1);
             self.crowd = (self.crowd.0 + fresh * (told - self.crowd.0), now);
         }
-        // How long this tells of: as answers get rare each counts for more, up to a few seconds' worth.
+        // The time that this result stands for: rarer results get a larger weight, limited to a few seconds'
+        // worth.
         let age = ((now - m.heard) as f64 / DENSE_ANSWERS as f64).min(3.0);
         let fresh = 1.0 - (-age).exp();
         if matches!(ending, Ending::Ok | Ending::Error | Ending::Miss | Ending::Full) {
@@ -56,14 +57,16 @@
             Ending::ConnectFailed if now < self.connections_scarce_until => {
                 m.pause = now + self.pace * PROBE_GAP_PACES
             }
-            // Connections break one by one, too, while the process serves on. It is gone if others break as well.
+            // Single connections may break while the process goes on serving. The member is suspected if
+            // another one breaks before it answers again.
             Ending::ConnectFailed | Ending::Reset if m.heard > m.last_broken.max(lately) => {
                 m.last_broken = now
             }
-            // One that is gone refuses at once; one that never answers is out of reach, and need not start anew.
+            // A member that is down refuses connections at once. One that does not respond is unreachable and
+            // need not have restarted.
             Ending::ConnectFailed => self.mark_suspect(now, id, elapsed < self.pace * PROBE_GAP_PACES),
             Ending::Reset => self.mark_suspect(now, id, true),
-            // Called off at its deadline, it took as long at least.
+            // The attempt ended at its deadline, so its answer would have taken at least this long.
             Ending::Timeout | Ending::Cancelled => {
                 m.slow += (0.2 * fresh).max(0.05) * (ratio - m.slow).max(0.0);
                 if late {
@@ -74,7 +77,8 @@
         }
     }
 
-    /// A suspect gets nothing new, and requests that wait on it get a copy where that is permitted.
+    /// Marks a member as a suspect, which gets no new attempts. Requests that wait for it get a second
+    /// attempt where that is permitted.
     pub(super) fn mark_suspect(&mut self, now: Micros, id: MemberId, down: bool) {
         let Some(m) = self.members.get_mut(&id) else { return };
         if !m.suspect {
@@ -91,7 +95,8 @@
         }
     }
 
-    /// The zone in which another attempt is likeliest to be permitted: that of the first one that may have run.
+    /// The zone in which another attempt is most likely to be permitted: that of the first attempt that may
+    /// have executed.
     fn repeat_zone(&self, r: &Request) -> ZoneId {
         r.doubt().map_or(self.settings.zone, |first| first.zone)
     }
@@ -102,14 +107,15 @@
         self.holding.insert(group);
     }
 
-    /// Takes a token of the retry budget; false where none is left.
+    /// Takes a token from the retry budget; returns `false` if none is left.
     pub(super) fn spend_retry(&mut self) -> bool {
         let enough = self.retries >= 1.0;
         self.retries -= if enough { 1.0 } else { 0.0 };
         enough
     }
 
-    /// All attempts have ended without an answer: hold it for another, or give it up at once.
+    /// Holds a request for another attempt, or gives it up, after all its attempts have ended without an
+    /// answer.
     pub(super) fn retry_or_give_up(
         &mut self,
         now: Micros,
@@ -131,7 +137,7 @@
         }
     }
 
-    /// The final answer: a refusal where a repeat is harmless, else a failure.
+    /// Sends the final answer: a refusal if a retry is harmless, otherwise a failure.
     pub(super) fn give_up(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
         r.answered = true;
@@ -148,7 +154,7 @@
         self.close(now, id, actions);
     }
 
-    /// The request is over: attempts still out are called off, and a bucket that waits on it settles.
+    /// Ends a request: cancels the attempts in flight and marks its bucket's write as settled.
     pub(super) fn close(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         let first = self.due.remove(&(r.deadline, id));
@@ -163,7 +169,8 @@
         if r.out() > 0 {
             return;
         }
-        // A lost write answer must not park its bucket's reads: replicas past this moment have it.
+        // A write whose answer was lost must not block its bucket's reads forever: replicas whose position is
+        // past this moment have applied it.
         if let Some(b) = r.bucket.map(|b| &mut self.buckets[b]).filter(|b| b.open == Some(r.sequence)) {
             (b.open, b.position) = (None, b.position.max(now));
         }
--- a/src/balance/periodic.rs
+++ b/src/balance/periodic.rs
@@ -1,4 +1,5 @@
-//! The steady round: silence, holds that can not be met, looks at suspects, probes.
+//! The periodic round: detects silent members, sheds held requests, probes suspects and asks for the member
+//! list.
 
 use super::member::Member;
 use super::{
@@ -8,7 +9,8 @@
 use crate::interface::{Action, MemberId, Micros};
 
 impl Balancer {
-    /// The steady round: silence, holds that can't be met, lost primaries, probes, the member list.
+    /// Runs one round: silent members, requests that can't be served in time, probes of suspects, the member
+    /// list.
     pub(super) fn run_round(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.probe_due = FOREVER;
         self.suspect_silent(now);
@@ -20,7 +22,7 @@
         self.watched.retain(|id| self.members.get(id).is_some_and(active));
     }
 
-    /// Asks for the list where it is time to.
+    /// Asks for the member list if that is due.
     fn ask_for_list(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.ask_at.take_if(|at| now >= *at).is_some() {
             self.list_calls.asked(now);
@@ -28,7 +30,8 @@
         }
     }
 
-    /// A member that holds work of ours in silence for several usual answer times is a suspect, unless most do.
+    /// Marks members as suspects that hold attempts and have not answered for several usual answer times. If
+    /// most members are silent, the cause is likely to be elsewhere and none is marked.
     pub(super) fn suspect_silent(&mut self, now: Micros) {
         let mut silent = Vec::new();
         for (id, m) in self.watched.iter().filter_map(|id| self.members.get(id).map(|m| (id, m))) {
@@ -44,16 +47,16 @@
         }
     }
 
-    /// Held requests that can't be served in time any more are given up, and so is all at its deadline.
+    /// Gives up held requests that can no longer be served in time, and all requests at their deadline.
     pub(super) fn shed(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut lost = Vec::new();
         for g in self.holding.iter().filter_map(|g| self.groups.get(g)) {
             for (id, r) in g.held.iter().filter_map(|id| self.requests.get(id).map(|r| (id, r))) {
                 let c = &self.settings.classes[r.class.0];
                 let best = ((self.work[r.class.0] / 2.0) as Micros).min(c.aim / 2);
-                // Where lateness leaves little, refuse while a repeat still has time.
+                // If a late answer earns little, refuse early enough that a retry has time.
                 let hold = r.arrived + brief_hold(c);
-                // Nor is one held for most of its time in vain.
+                // Otherwise a request without any attempt is not held for most of its time.
                 let vain = r.arrived + ((r.deadline - r.arrived) as f64 * FIRST_ATTEMPT_HOLD_SHARE) as Micros;
                 let patient = if r.attempts.is_empty() { vain } else { r.deadline };
                 let useful = r.deadline.min(hold + best).min(r.began + c.aim);
@@ -67,7 +70,8 @@
         lost.into_iter().for_each(|id| self.give_up(now, id, actions));
     }
 
-    /// Probes suspects that are due. Probes may fail while members serve: after a while requests test a suspect, too.
+    /// Probes the suspects that are due. Probes may fail while a member serves requests, so after a while the
+    /// suspicion is cleared and requests are sent again.
     pub(super) fn probe_suspects(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for id in self.watched.clone() {
             let ill = |m: &&mut Member| m.suspect && !m.barred && !m.held_out;
@@ -84,7 +88,7 @@
         }
     }
 
-    /// Sends a probe, unless one is out or the probe budget is spent.
+    /// Sends a probe, unless one is in flight or the probe budget is used up.
     pub(super) fn probe(&mut self, now: Micros, id: MemberId, actions: &mut Vec<Action>) -> bool {
         let Some(m) = self.members.get_mut(&id).filter(|m| m.probing.is_none()) else { return false };
         let granted = self.settings.allowed.probes && self.probes >= 1.0;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,20 +1,21 @@
-//! What the balancer is told and what it asks for: settings, events, actions. Data only.
+//! The balancer's interface: settings, events and actions. Plain data without logic.
 //!
-//! Times and durations are integer microseconds on the driver's clock, whose origin is free. Positions are
-//! times on the same clock: a member at position `p` has applied every commit up to `p`.
+//! Times and durations are integer microseconds on the driver's clock, whose origin is arbitrary. Replication
+//! positions are times on the same clock: a member at position `p` has applied every commit up to `p`.
 
 /// A time or a duration in microseconds.
 pub type Micros = i64;
 
-/// A client's request, named by the driver; never used twice.
+/// Identifies a client's request. The driver assigns it and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A database member, numbered by the driver; the same member keeps its number for the driver's life.
+/// Identifies a database member. The driver numbers members; a member keeps its number for as long as the
+/// driver runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub u32);
 
-/// A group of one primary and its replicas.
+/// Identifies a group, which consists of a primary and its replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u64);
 
@@ -22,7 +23,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// Index of a zone among those that the driver knows.
+/// Index of a zone in the driver's list of zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
@@ -30,54 +31,54 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// A label that a timer carries back.
+/// Identifies a timer; the timer event carries the tag of the action that set it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerTag(pub u64);
 
-/// Where the repeats of a keyed request are dropped.
+/// The members that recognize a repeat of a keyed request and drop it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// Any member drops a repeat.
     All,
-    /// Members of the same zone do.
+    /// Only members of the zone of the first attempt do.
     Zone,
-    /// Members of the same group do.
+    /// Only members of the group do.
     Group,
 }
 
-/// What may be repeated.
+/// Whether requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat and to refuse at any time.
+    /// May be executed any number of times, and refused at any time.
     Safe,
-    /// Repeats are dropped inside `scope` for `window` after the first attempt that may have run.
+    /// Members in `scope` drop repeats for `window` after the first attempt that may have executed.
     Keyed {
         /// Members that drop repeats.
         scope: Scope,
-        /// How long they remember.
+        /// How long they recognize repeats.
         window: Micros,
     },
-    /// Must never run twice.
+    /// Must never be executed twice.
     Unsafe,
 }
 
-/// How current the data for a class must be.
+/// How current the data that a class reads must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadLevel {
-    /// A write: only the primary takes it.
+    /// A write: only the primary accepts it.
     Write,
-    /// Must see every commit before its arrival.
+    /// The read must see every commit made before the request arrived.
     Fresh,
-    /// Must see what its session has written.
+    /// The read must see the writes of its own session.
     Session,
-    /// Data at most this old when it is sent.
+    /// When the request is sent, the data may be at most this old.
     Bounded(Micros),
-    /// Any member will do.
+    /// Data of any age: every member can serve the read.
     Any,
 }
 
 impl ReadLevel {
-    /// The oldest data that a bounded class takes.
+    /// The maximum age of the data for a class with bounded staleness; `None` for other classes.
     pub fn bound(self) -> Option<Micros> {
         match self {
             ReadLevel::Bounded(bound) => Some(bound),
@@ -86,19 +87,20 @@
     }
 }
 
-/// What a member does with a read for which it lags too far.
+/// What a member does with a read that needs a later position than the member has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behind {
-    /// Answers from what it has.
+    /// Answers from the data that it has.
     Silent,
-    /// Turns the read away untouched.
+    /// Rejects the read without executing it.
     Refuse,
-    /// Waits up to this long, then turns it away.
+    /// Waits up to this long for replication to catch up, then rejects the read without executing it.
     Wait(Micros),
 }
 
 impl Behind {
-    /// By how much a member may lag and still be tried; `None` where it would not say so.
+    /// How far a member may lag behind a read's needed position and still be worth trying; `None` if a
+    /// lagging member would answer with old data instead of rejecting the read.
     pub fn slack(self) -> Option<Micros> {
         match self {
             Behind::Silent => None,
@@ -108,220 +110,225 @@
     }
 }
 
-/// How the member list tells roles.
+/// How reliable the roles in the member list are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedRole {
-    /// A few seconds late.
+    /// They follow role changes with a delay of a few seconds.
     Late,
-    /// As it was at the start.
+    /// They are those of the start of the deployment and never change.
     Start,
-    /// Not at all.
+    /// The list has no roles.
     Unlisted,
 }
 
-/// How a session's writes are known.
+/// How the balancer learns what a session has written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tokens {
-    /// The read says when the last write was committed.
+    /// Each read carries the time since its session's last commit.
     Carried,
-    /// The read must see the writes whose answers this driver has had.
+    /// The balancer records the writes whose answers this driver has received; a read must see those of its
+    /// session.
     Remembered,
 }
 
-/// One request class.
+/// A request class: a service level objective, a deadline and consistency requirements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Answers within this time earn the full worth.
+    /// An answer within this time earns the full worth.
     pub aim: Micros,
-    /// The client's whole patience.
+    /// How long a client waits for an answer in total.
     pub deadline: Micros,
-    /// Worth of one request.
+    /// Worth of one request that is answered in time.
     pub worth: f64,
-    /// Share of the worth that a late answer earns.
+    /// Fraction of the worth that an answer earns after the latency target and before the deadline.
     pub late_worth: f64,
-    /// What may be repeated.
+    /// Whether requests may be executed more than once.
     pub effect: Effect,
     /// How current the data must be.
     pub read: ReadLevel,
 }
 
-/// The figures behind the rules.
+/// Parameters of the rules that a driver has to follow and of how members behave.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// A final answer counts until this long after the client's deadline.
     pub answer_slack: Micros,
-    /// Share of its capacity at which a member starts, or more.
+    /// Lower bound on the fraction of its capacity that a member has when it has just started.
     pub cold_share: f64,
-    /// A started member is warm after this time at most.
+    /// Upper bound on the time until a started member reaches its full capacity.
     pub cold: Micros,
-    /// Nothing new goes to a draining or gone member later than this after the driver was told.
+    /// How long after the driver learns that a member is draining or gone new attempts may still go to it.
     pub drain_grace: Micros,
-    /// Multiple of its capacity that pushes a cold member over,
+    /// A cold member collapses if it gets this multiple of its current capacity
     pub fall_multiple: f64,
-    /// when it is sent for this long.
+    /// for this long.
     pub fall: Micros,
-    /// A driver that has not asked for the list this long counts as told.
+    /// A driver that has not asked for the member list for this long is treated as if it knew the current
+    /// list.
     pub must_ask_in: Micros,
-    /// Only members seen listed as draining bind; vanishing from the list does not.
+    /// Only members that were listed as draining are closed to new attempts; members that vanish from the
+    /// list are not.
     pub dropped_stay_open: bool,
 }
 
-/// What the driver may do.
+/// What the driver is permitted to do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Allowed {
-    /// Attempts of one request.
+    /// Maximum number of attempts of one request.
     pub attempts: u32,
-    /// Two attempts of one request may be out at a time.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub second_copies: bool,
-    /// Probes are permitted.
+    /// Whether probes are permitted.
     pub probes: bool,
-    /// Cancels are permitted.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Messages to other drivers are permitted.
+    /// Whether messages to other drivers are permitted.
     pub peers: bool,
-    /// Clients are given retry-after advice,
+    /// Whether refused clients get a retry-after hint,
     pub retry_after: bool,
-    /// up to this long.
+    /// and the longest such hint.
     pub max_retry_after: Micros,
 }
 
-/// What costs points, each per first try.
+/// Penalties in points, relative to the number of first tries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Prices {
     /// A probe.
     pub probe: f64,
-    /// An attempt that crosses zones.
+    /// An attempt that goes to another zone than the driver's.
     pub cross_zone: f64,
-    /// Member work that served no answer.
+    /// Work that members did on attempts whose answers nobody used.
     pub waste: f64,
 }
 
-/// One tenant of a deployment that shares its capacity among several.
+/// One of the tenants that share the capacity of a deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, over all drivers.
+    /// Requests per second that the tenant is entitled to, over all drivers.
     pub rate: f64,
 }
 
-/// All that an instance is told at its start.
+/// Everything that a balancer needs to know at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Request classes.
     pub classes: Vec<Class>,
     /// The driver's own zone.
     pub zone: ZoneId,
-    /// How many drivers there are.
+    /// Number of drivers in the deployment.
     pub fleet: u32,
-    /// This driver's number among them.
+    /// Index of this driver, from 0.
     pub me: u32,
-    /// Least time between two rounds of events.
+    /// Shortest time between two events that the driver delivers.
     pub tick: Micros,
-    /// The member list comes only when asked for.
+    /// Whether the member list has to be requested; otherwise it is pushed.
     pub list_on_request: bool,
-    /// How the list tells roles.
+    /// How reliable the roles in the member list are.
     pub listed_role: ListedRole,
-    /// How a session's writes are known.
+    /// How the balancer learns what a session has written.
     pub tokens: Tokens,
-    /// What lagging members do.
+    /// What members do with reads for which they lag too far.
     pub behind: Behind,
-    /// Answers carry positions.
+    /// Whether answers carry the member's position.
     pub positions: bool,
-    /// Figures behind the rules.
+    /// Parameters of the rules and of members.
     pub rules: Rules,
-    /// Permissions.
+    /// What the driver is permitted to do.
     pub allowed: Allowed,
-    /// Prices.
+    /// Penalties.
     pub prices: Prices,
-    /// Tenants; none where the deployment has one user.
+    /// Tenants; empty if the deployment has only one user.
     pub tenants: Vec<Tenant>,
-    /// What a request beyond its tenant's share is worth, as a share of its class's worth.
+    /// Worth of a request beyond its tenant's share, as a fraction of its class's worth.
     pub over_share_worth: f64,
 }
 
-/// A member's state in the list.
+/// State of a member according to the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
     /// Serving.
     #[default]
     Up,
-    /// Finishing its work.
+    /// Finishes the requests that it has and accepts no new ones.
     Draining,
-    /// Gone.
+    /// No longer part of the deployment.
     Removed,
 }
 
 /// One entry of the member list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Entry {
-    /// Which member.
+    /// The driver's number for the member.
     pub member: MemberId,
-    /// A number that every driver gives this member, such as a hash of its address.
+    /// A number that is the same for this member on all drivers, such as a hash of its address.
     pub common: u64,
-    /// Its group.
+    /// The group that it belongs to.
     pub group: GroupId,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Its size beside the others'.
+    /// Its capacity relative to other members.
     pub weight: f64,
-    /// When it last started, if not long ago.
+    /// When it last started; `None` if that is long ago.
     pub since: Option<Micros>,
     /// Its state.
     pub phase: Phase,
-    /// Listed as its group's primary.
+    /// Whether the list names it as its group's primary.
     pub leader: bool,
 }
 
-/// What a list event brings.
+/// What an event about the member list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Incremental,
     /// The complete list.
     Full,
-    /// The complete list as this driver last saw it, maybe long ago.
+    /// The complete list as this driver last stored it, possibly long ago.
     Saved,
-    /// A call or a subscription failed; the old list stands.
+    /// A call or a subscription failed; the previous list stays valid.
     Failed,
-    /// The connection of a call or a subscription broke; the old list stands, and the service may be well.
+    /// The connection of a call or a subscription broke; the previous list stays valid, and the service may
+    /// be healthy.
     Broken,
 }
 
-/// How many members a balancer knows.
+/// Counts of the members that a balancer knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Targets {
-    /// All, with those that are gone and still owe an answer.
+    /// All known members, including removed ones with attempts in flight.
     pub known: usize,
-    /// On the list.
+    /// Members on the list.
     pub listed: usize,
-    /// Of those listed, such as get nothing new: by the list's word, by hand or by suspicion.
+    /// Listed members that get no new attempts: they are draining, held out by an operator, or suspected to
+    /// have failed.
     pub avoided: usize,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Served.
+    /// The member answered successfully.
     Ok,
-    /// The member answered with an error; it may have run.
+    /// The member answered with an error; the statement may have executed.
     Error,
-    /// Turned away unseen.
+    /// The member rejected the attempt because it is full; nothing executed.
     Full,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the statement may have executed.
     Timeout,
-    /// No connection.
+    /// No connection could be established; nothing executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the statement may have executed.
     Reset,
-    /// Called off; it may have run.
+    /// The driver cancelled the attempt; the statement may have executed.
     Cancelled,
-    /// Never sent.
+    /// The driver did not send the attempt.
     Moot,
-    /// Turned away untouched: not the primary, or too far behind.
+    /// The member rejected the attempt because it is not the primary or lags too far; nothing executed.
     Miss,
 }
 
 impl Ending {
-    /// Whether this ending proves that nothing ran.
+    /// Whether nothing can have executed.
     pub fn never_ran(self) -> bool {
         match self {
             Ending::Full | Ending::ConnectFailed | Ending::Moot | Ending::Miss => true,
@@ -330,25 +337,26 @@
     }
 }
 
-/// The note of an answer.
+/// What an answer says about the member that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Note {
-    /// The member's position in whole milliseconds, rounded down; a served write's commit, rounded up.
+    /// The member's position in whole milliseconds, rounded down. In the answer to a successful write it is
+    /// the commit's position, rounded up.
     pub position: Option<Micros>,
-    /// Whether it answered as primary.
+    /// Whether the member answered as the primary.
     pub primary: bool,
 }
 
-/// A member's report on itself, somewhat old.
+/// A member's report on its own state, which may be some time old.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct Report {
-    /// Its position.
+    /// The member's replication position.
     pub position: Option<Micros>,
-    /// Whether it was the primary.
+    /// Whether the member was the primary.
     pub primary: Option<bool>,
-    /// Requests it held.
+    /// Number of requests that the member was processing.
     pub inflight: Option<f64>,
-    /// Requests waiting there.
+    /// Number of requests that waited at the member.
     pub queue: Option<f64>,
 }
 
@@ -361,40 +369,42 @@
     pub class: ClassId,
     /// Its group.
     pub group: GroupId,
-    /// Its session, for writes and session reads.
+    /// Its session, for writes and for reads that must see their session's writes.
     pub key: Option<u64>,
-    /// When the client gives up.
+    /// When the client stops waiting for an answer.
     pub deadline: Micros,
-    /// With carried tokens: how long ago the session last committed; `None` if it has not.
+    /// Time since the session's last commit, where requests carry it; `None` if the session has not written.
     pub since_write: Option<Micros>,
-    /// The client marked it as a repeat.
+    /// Whether the client marked the request as a retry.
     pub repeat: bool,
-    /// A member can tell from it what the read has to see, and turn it away where it is behind.
+    /// Whether the request tells members which position the read needs, so that a lagging member can reject
+    /// it.
     pub checked: bool,
-    /// Whose it is, where the settings name tenants.
+    /// Its tenant, if the settings list tenants.
     pub tenant: Option<TenantId>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outcome {
-    /// The request.
+    /// Its request.
     pub request: RequestId,
-    /// Number of the attempt.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
     /// The member it went to.
     pub member: MemberId,
-    /// How it ended.
+    /// The result.
     pub ending: Ending,
-    /// The request is over.
+    /// Whether the request needs no further attempt.
     pub last: bool,
-    /// How long it took.
+    /// How long the attempt took.
     pub elapsed: Micros,
-    /// The answer's note.
+    /// What the answer said about the member.
     pub note: Option<Note>,
-    /// A report that came along.
+    /// The member's report, if the answer carried one.
     pub report: Option<Report>,
-    /// From when on another attempt may follow, where this one's connection was closed under it.
+    /// The time from which another attempt may follow, if the driver closed this attempt's connection before
+    /// it had ended.
     pub settled_at: Option<Micros>,
 }
 
@@ -403,106 +413,107 @@
 pub struct Probed {
     /// The member.
     pub member: MemberId,
-    /// How it ended.
+    /// The result.
     pub ending: Ending,
-    /// How long it took.
+    /// How long the probe took.
     pub elapsed: Micros,
     /// The member's report.
     pub report: Option<Report>,
 }
 
-/// What a driver hands the balancer.
+/// An input of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the member list.
+    /// The member list has arrived, has changed, or could not be fetched.
     Members {
-        /// What it brings.
+        /// What the event contains.
         kind: ListKind,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// A client's request has come in.
+    /// A client's request has arrived.
     Request(Arrival),
     /// An attempt has ended.
     Outcome(Outcome),
-    /// An operator holds a member out, or readmits it after its restart; the list has no say in this.
+    /// An operator has held a member out of service, or readmitted it after a restart. The member list does
+    /// not affect this.
     Maintenance {
-        /// Which.
+        /// The member.
         member: MemberId,
-        /// Nothing new may go there.
+        /// Whether the member must get no new attempts.
         out: bool,
     },
-    /// The client has left; nothing is owed any more.
+    /// The client has disconnected or cancelled; the request needs no answer any more.
     Gone {
         /// The request.
         request: RequestId,
     },
     /// A timer is due.
     Timer {
-        /// Its label.
+        /// The tag given when the timer was set.
         tag: TimerTag,
     },
     /// A probe has ended.
     Probed(Probed),
-    /// A message of another driver.
+    /// Another driver has sent a message.
     Peer {
-        /// Its sender.
+        /// Index of the sending driver.
         from: u32,
-        /// Its bytes.
+        /// Its content.
         body: Vec<u8>,
     },
 }
 
-/// What the balancer asks the driver to do.
+/// What the driver has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; those of a request are numbered from 0 in this order.
+    /// Start an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The member to send it to.
         member: MemberId,
-        /// How long to wait for its answer.
+        /// How long to wait for the answer.
         timeout: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Stop waiting for an attempt and cancel it.
     Cancel {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: turned away, harmless to repeat.
+    /// Answer the client that the request was refused and is safe to retry.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Advice on when to come back.
+        /// Hint for when to retry.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, with no promise.
+    /// Answer the client that the request failed and that it may have executed.
     Fail {
         /// The request.
         request: RequestId,
     },
     /// Probe a member.
     Probe {
-        /// Which.
+        /// The member.
         member: MemberId,
     },
     /// Close this driver's idle connections to a member.
     Close {
-        /// Which.
+        /// The member.
         member: MemberId,
     },
-    /// Wake the balancer with [`Event::Timer`].
+    /// Deliver [`Event::Timer`] at a given time.
     Timer {
-        /// The label to bring back.
+        /// The tag for the event to carry.
         tag: TimerTag,
         /// When.
         at: Micros,
     },
     /// Subscribe to the member list.
     Watch,
-    /// Ask once for the whole member list.
+    /// Fetch the complete member list once.
     Fetch,
 }
