--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -128,8 +128,7 @@
             effect: self.settings.classes[r.class.0].effect,
             deadline: r.deadline,
             answered: r.answered,
-            // When a client leaves, the driver reports it and the request is closed, so that this is never
-            // reached.
+            // When a client leaves, the driver reports it and the request is closed before.
             client_left: false,
             begun: r.attempts.len() as u32,
             out: r.out() as u32,
--- a/src/bin/leadmast-wirehost/main.rs
+++ b/src/bin/leadmast-wirehost/main.rs
@@ -1,4 +1,5 @@
-//! Hosts balancers on the simulator's wire: events on standard input, decisions on standard output.
+//! Runs balancers for the simulator: reads events from standard input and writes decisions to standard
+//! output.
 
 mod wire;
 
@@ -11,13 +12,13 @@
 use serde_json::{json, Value};
 use wire::{Names, Sheets};
 
-/// One instance, sharing nothing with the others.
+/// One balancer instance; instances share no state.
 struct Instance {
     balancer: Balancer,
     names: Names,
 }
 
-/// All instances of this process and the lists that their events refer to.
+/// All instances of this process and the member lists that their events refer to.
 #[derive(Default)]
 struct Host {
     instances: HashMap<u64, Instance>,
@@ -25,7 +26,7 @@
 }
 
 impl Host {
-    /// Answers one batch.
+    /// Processes one batch of events and returns the reply.
     fn batch(&mut self, line: &str) -> Result<Value> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let wall = batch.get("wall").and_then(Value::as_f64).filter(|w| w.abs() < 1e12);
--- a/src/bin/leadmast-wirehost/wire.rs
+++ b/src/bin/leadmast-wirehost/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's words and codes, and their translation to and from the library's types.
+//! Translates between the wire's messages and codes and the library's types.
 
 use std::collections::HashMap;
 
@@ -6,10 +6,11 @@
 use leadmast::*;
 use serde_json::{json, Value};
 
-/// The member lists of this process, by number.
+/// The member lists of this process, by their number on the wire.
 pub type Sheets = HashMap<u64, Vec<Value>>;
 
-/// Names that an instance has met: those of the settings, and members, numbered in the order met.
+/// The names known to an instance: those in the settings, and members' names in the order in which they first
+/// occurred.
 pub struct Names {
     site: settings::Names,
     members: Vec<String>,
@@ -33,7 +34,7 @@
     }
 }
 
-/// The values of one event behind its name, with plain complaints.
+/// The values of one event after its name, with accessors that return readable errors.
 struct Row<'a> {
     what: &'a str,
     values: &'a [Value],
@@ -84,7 +85,7 @@
     json!(t as f64 / 1000.0)
 }
 
-/// Reads `BEGIN`: the settings, the seed, and the names to translate by.
+/// Parses `BEGIN`: the settings, the seed, and the names for translation.
 pub fn begin(item: &Value) -> Result<(Settings, u64, Names)> {
     let row = Row::new("BEGIN", item)?;
     let seed = row.int(1, "nonce64")?;
@@ -93,7 +94,7 @@
     Ok((facts.settings, seed, Names { site: facts.names, members: Vec::new(), numbers: HashMap::new() }))
 }
 
-/// Reads `CENSUS` into the process's sheets.
+/// Parses `CENSUS` and stores its member list.
 pub fn census(item: &Value, sheets: &mut Sheets) -> Result<()> {
     let row = Row::new("CENSUS", item)?;
     let rows = row.need(2, "rowsIn", "a list", Value::as_array)?;
@@ -101,7 +102,7 @@
     Ok(())
 }
 
-/// Reads one event of a running instance; `None` for those that say nothing to the library.
+/// Parses one event of a running instance; `None` for events that the library does not need.
 pub fn event(item: &Value, sheets: &Sheets, names: &mut Names) -> Result<Option<Event>> {
     let what = item.get(0).and_then(Value::as_str).ok_or("an item has no name")?;
     let row = Row::new(what, item)?;
@@ -122,7 +123,7 @@
             report: report(&row, 4, names)?,
         }),
         "MESSAGE" => Event::Peer { from: small(row.int(1, "srcPeer")?)?, body: bytes(row.text(2, "body")?)? },
-        // No class here streams; an answer that starts is told again when it ends.
+        // No class streams its answers, so the end of an answer is reported by another event.
         "ESTABLISHED" => return Ok(None),
         _ => return Err(format!("unknown event {what:?}")),
     }))
@@ -165,7 +166,7 @@
 fn call(row: &Row, names: &Names) -> Result<Event> {
     let band = row.text(8, "band")?;
     let class = names.site.class(band);
-    // Without tenants it is absent or 0.
+    // Without tenants the value is absent or 0.
     let tenant = row.maybe(4, "owner", "text", |v| Some(v.as_str().and_then(|t| names.site.tenant(t))))?;
     Ok(Event::Request(Arrival {
         request: RequestId(row.int(1, "corr")?),
@@ -251,7 +252,7 @@
     }
 }
 
-/// Writes one action in the wire's words.
+/// Encodes one action for the wire.
 pub fn decision(action: &Action, names: &Names) -> Value {
     let member = |m: &MemberId| names.members.get(m.0 as usize).cloned().unwrap_or_default();
     match action {
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,42 +1,45 @@
-//! The rules as invariants: what was done is judged by what was true when it was done, and violations are counted by rule.
+//! The rules as invariants: checks what was done against the state at that time and counts violations by
+//! rule.
 //!
-//! [`permission`](crate::permission) says beforehand what may be done. Here the same rules are stated from the other side, from
-//! times taken at the system call itself, so that a path that did not ask, or acted late on the answer it got, is found. No
-//! I/O and no clock. A sound program counts none.
+//! [`permission`](crate::permission) decides beforehand what may be done. This module states the same rules
+//! independently, on times taken at the system call, in order to find code paths that did not ask for
+//! permission or acted too late on it. It does no I/O and reads no clock. A correct program has no
+//! violations.
 
 use crate::interface::Micros;
 
-/// A client may have left this long before an attempt of its request begins.
+/// An attempt may still begin this long after the client has left.
 const LEFT_GRACE: Micros = 100_000;
-/// The time told to a db host may exceed what is left to the client by this much.
+/// The remaining time sent to a db host may exceed the client's remaining time by this much.
 const TOLD_SLACK: Micros = 150_000;
-/// A final answer may come this long after its request's time.
+/// A final answer may follow the request's deadline by this much.
 const ANSWER_SLACK: Micros = 500_000;
 
-/// A rule that can be violated.
+/// A rule whose violations are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One attempt is out at a time, unless settings allow a second copy.
+    /// Only one attempt is in flight at a time, unless the settings allow a second one.
     OneAttempt,
-    /// No more attempts of a request than the settings allow.
+    /// A request has no more attempts than the settings allow.
     AttemptLimit,
-    /// What may have run is repeated only within its window, and never where its class forbids it.
+    /// A request that may have executed is repeated only within its window, and never if its class forbids
+    /// it.
     Repeat,
-    /// Nothing new goes to a draining or gone host after the grace.
+    /// Nothing new is sent to a draining or removed db host after the grace period.
     Drain,
-    /// No attempt begins long after its client has left.
+    /// No attempt begins long after the client has left.
     ClientLeft,
-    /// The time told to a db host is no more than what its client has left.
+    /// The remaining time sent to a db host does not exceed the client's.
     DeadlineTold,
-    /// A request has its final answer in its time.
+    /// A request gets its final answer in time.
     AnswerInTime,
-    /// No connection is closed by the proxy over a request that it has read and not answered.
+    /// The proxy closes no connection with a request that it has read and not answered.
     ClosedUnanswered,
     /// No pooled connection is used after its db host may have dropped it.
     ExpiredConnection,
 }
 
-/// How many rules there are.
+/// Number of rules.
 const RULES: usize = 9;
 
 impl Rule {
@@ -53,7 +56,7 @@
         Rule::ExpiredConnection,
     ];
 
-    /// Its name in the log and the figures.
+    /// The rule's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAttempt => "one_attempt",
@@ -69,7 +72,7 @@
     }
 }
 
-/// How often each rule was violated.
+/// Number of violations of each rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations([u64; RULES]);
 
@@ -79,49 +82,50 @@
         self.0[rule as usize] += 1;
     }
 
-    /// How often this rule was violated.
+    /// Returns the number of violations of a rule.
     pub fn of(&self, rule: Rule) -> u64 {
         self.0[rule as usize]
     }
 
-    /// Each rule with its count.
+    /// Iterates over the rules and their numbers of violations.
     pub fn by_rule(&self) -> impl Iterator<Item = (Rule, u64)> + '_ {
         Rule::ALL.into_iter().map(|rule| (rule, self.of(rule)))
     }
 
-    /// All violations.
+    /// Returns the total number of violations.
     pub fn sum(&self) -> u64 {
         self.0.iter().sum()
     }
 }
 
-/// An attempt whose last byte was handed to the system at `at`.
+/// An attempt whose last byte was passed to the kernel at `at`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Written {
-    /// When that was.
+    /// When the last byte was passed to the kernel.
     pub at: Micros,
-    /// The time that it tells its db host, where it tells one.
+    /// The remaining time that was sent with it, if any.
     pub told: Option<Micros>,
-    /// When its client gives up.
+    /// When its client stops waiting for an answer.
     pub deadline: Micros,
     /// When its client left, if it has.
     pub client_left: Option<Micros>,
-    /// Until when it may run, where an earlier attempt may have: `Some(None)` where it never may.
+    /// If an earlier attempt may have executed: the time until which this one may be written, or `Some(None)`
+    /// if it must never be.
     pub repeat_until: Option<Option<Micros>>,
-    /// When the closes of its request's earlier connections have settled, where any was closed.
+    /// When the closes of the request's earlier connections take effect, if any was closed.
     pub settled_at: Option<Micros>,
-    /// Attempts of its request that were out beside it.
+    /// Number of other attempts of the request in flight at that time.
     pub others_out: u32,
-    /// Its number, from 0 on.
+    /// Number of the attempt, from 0.
     pub number: u32,
-    /// How many attempts the settings allow.
+    /// Maximum number of attempts by the settings.
     pub attempts: u32,
-    /// Whether they allow a second one beside the first.
+    /// Whether the settings allow two attempts in flight.
     pub second_copies: bool,
 }
 
 impl Written {
-    /// The rules that it violates.
+    /// Returns the rules that the attempt violates.
     pub fn violations(&self) -> Vec<Rule> {
         let told_too_much = self.told.is_some_and(|told| self.at + told > self.deadline + TOLD_SLACK);
         let left_before = self.client_left.is_some_and(|left| self.at > left + LEFT_GRACE);
@@ -142,13 +146,13 @@
     }
 }
 
-/// Whether the first byte of an attempt, written at `at`, violates the rule on drains: its db host was told to drain, or to be
-/// gone, at `told`.
+/// Returns whether the first byte of an attempt, written at `at`, violates the drain rule. `told` is the time
+/// at which the driver learned that the db host is draining or removed.
 pub fn violates_drain(at: Micros, told: Option<Micros>, grace: Micros) -> bool {
     told.is_some_and(|told| at > told + grace)
 }
 
-/// Whether a final answer given at `at` comes too late for a client that gives up at `deadline`.
+/// Returns whether a final answer at `at` is too late for a client that waits until `deadline`.
 pub fn violates_answer_time(at: Micros, deadline: Micros) -> bool {
     at > deadline + ANSWER_SLACK
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! leadmast decides where the queries of sharded, replicated databases go.
+//! leadmast decides which member of a sharded, replicated database gets each query.
 //!
-//! It does no I/O and reads no clock: a driver hands [`Balancer::handle`] each [`Event`] with the time, and
-//! carries out the [`Action`]s that come back, in order. Each driver holds an instance of its own.
+//! It does no I/O and reads no clock: a driver passes each [`Event`] with the time to [`Balancer::handle`]
+//! and executes the resulting [`Action`]s in order. Each driver has its own instance.
 //!
 //! ```
 //! use leadmast::*;
@@ -40,7 +40,7 @@
 //!     deadline: 1_000_000, since_write: None, repeat: false, checked: true, tenant: None,
 //! });
 //! balancer.handle(5_000, read, &mut actions);
-//! // The read spares the primary.
+//! // The read goes to the replica, not to the primary.
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { member: MemberId(1), .. })));
 //! ```
 
--- a/src/permission/attempt.rs
+++ b/src/permission/attempt.rs
@@ -1,110 +1,113 @@
-//! Attempts: whether one may begin, whether a request that may have run may be repeated, and whether an attempt may still be
-//! written when its connection is there.
+//! Rules on attempts: whether one may begin, whether a request that may have executed may be repeated, and
+//! whether an attempt may be written once its connection is established.
 
 use crate::interface::{Effect, Micros, Scope, ZoneId};
 
-/// The last byte of an attempt follows the time told by this much at most. The rule's slack is 0.15 s, of which a process may be held
-/// up for most.
+/// The last byte of an attempt is written at most this long after the remaining time sent with it was
+/// computed. The rule allows 0.15 s, most of which the process may spend descheduled.
 const TOLD_HOLDS_FOR: Micros = 50_000;
-/// Statements up to this size are taken at once by the buffers of any connection.
+/// Statements up to this size fit into the socket buffers of any connection, so writing them takes no time.
 const AT_ONCE: usize = 32 * 1024;
-/// A longer one may take this part of its client's time to write, and this long at most.
+/// Writing a longer statement may take this fraction (one in so many) of its client's remaining time, but no
+/// longer than the limit below.
 const WRITING_SHARE: Micros = 4;
 const LONGEST_WRITING: Micros = 1_000_000;
-/// How long the close of a connection may take to reach its db host, beyond what bytes on another connection take.
+/// How much longer the close of a connection may take to reach its db host than bytes on another connection.
 const CLOSE_SETTLES_IN: Micros = 2_000;
 
-/// An attempt that may have run.
+/// The fact that an earlier attempt of a request may have executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Doubt {
     /// When the first such attempt was sent.
     pub since: Micros,
-    /// The zone of its db host, where that is known.
+    /// The zone of its db host, if known.
     pub zone: Option<ZoneId>,
 }
 
-/// What is known of a request when an attempt of it is considered.
+/// The state of a request when another attempt of it is considered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// What may be repeated of its class.
+    /// Whether requests of its class may be executed more than once.
     pub effect: Effect,
-    /// When its client gives up.
+    /// When its client stops waiting for an answer.
     pub deadline: Micros,
-    /// It has its final answer.
+    /// Whether it has its final answer.
     pub answered: bool,
-    /// Its client has closed its connection or cancelled.
+    /// Whether its client has closed its connection or cancelled the request.
     pub client_left: bool,
-    /// Attempts begun so far.
+    /// Number of attempts begun so far.
     pub begun: u32,
-    /// Attempts that have not ended.
+    /// Number of attempts that have not ended.
     pub out: u32,
-    /// Its first attempt that may have run.
+    /// The first attempt that may have executed.
     pub doubt: Option<Doubt>,
-    /// When the closes of its earlier attempts' connections have settled, where any was closed.
+    /// When the closes of its earlier attempts' connections take effect, if any was closed; see
+    /// [`settled_at`].
     pub settled_at: Option<Micros>,
 }
 
-/// What the settings allow.
+/// Limits that the settings impose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptLimits {
-    /// Attempts of one request.
+    /// Maximum number of attempts of one request.
     pub attempts: u32,
-    /// A second attempt may be out beside the first.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub second_copies: bool,
-    /// A repeat has to be sent this long before its window ends.
+    /// How long before the end of its window a repeat has to be sent.
     pub margin: Micros,
 }
 
-/// How a db host stands for new work.
+/// Whether a db host accepts new attempts, and why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostStanding {
-    /// It takes new work.
+    /// It accepts new attempts.
     Open,
     /// Discovery lists it as draining.
     Draining,
-    /// It is not listed any more.
+    /// Discovery no longer lists it.
     Gone,
-    /// An operator holds it out.
+    /// An operator holds it out of service.
     HeldOut,
-    /// It was never listed.
+    /// Discovery has never listed it.
     Unknown,
 }
 
-/// Why an attempt may not begin, or not be written.
+/// Why an attempt may not begin or may not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptDenial {
-    /// Its request has its final answer.
+    /// The request has its final answer.
     Answered,
-    /// Nobody waits for it any more.
+    /// The client has left.
     ClientLeft,
-    /// Its client has given up by now.
+    /// The client's deadline has passed.
     DeadlinePassed,
-    /// The time told to its db host is no longer true.
+    /// The remaining time sent with the attempt is no longer accurate enough.
     TimeToldPassed,
-    /// One attempt is out, and the settings allow no second one.
+    /// Another attempt is in flight, and the settings do not allow a second one.
     AttemptOut,
-    /// The connection of an earlier attempt was closed just now: its db host may count that attempt as out yet.
+    /// The connection of an earlier attempt was closed so recently that its db host may still count that
+    /// attempt as in flight.
     CloseUnsettled,
-    /// The settings allow no more attempts.
+    /// The request has used up its attempts.
     AttemptsUsed,
-    /// It may have run, and its class may never run twice.
+    /// An earlier attempt may have executed, and the class must never execute twice.
     MayHaveRun,
-    /// It may have run, and db hosts no longer drop its repeats.
+    /// An earlier attempt may have executed, and its window, in which db hosts drop repeats, is over.
     WindowOver,
-    /// It may have run in another zone, and only that zone's db hosts drop its repeats.
+    /// An earlier attempt may have executed in another zone, and only the db hosts of that zone drop repeats.
     OtherZone,
-    /// Its db host is listed as draining.
+    /// The db host is listed as draining.
     HostDraining,
-    /// Its db host is not listed any more.
+    /// The db host is no longer listed.
     HostGone,
-    /// An operator holds its db host out.
+    /// An operator holds the db host out of service.
     HostHeldOut,
-    /// Its db host was never listed.
+    /// The db host has never been listed.
     HostUnknown,
 }
 
 impl AttemptDenial {
-    /// All of them, for figures.
+    /// All reasons, for metrics.
     pub const ALL: [AttemptDenial; 14] = [
         AttemptDenial::Answered,
         AttemptDenial::ClientLeft,
@@ -122,7 +125,7 @@
         AttemptDenial::HostUnknown,
     ];
 
-    /// Its name in the log and the figures.
+    /// The reason's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             AttemptDenial::Answered => "answered",
@@ -143,10 +146,10 @@
     }
 }
 
-/// Whether an attempt of a request may begin now, in this zone where that is known.
+/// Checks whether an attempt of a request may begin now at a db host in `zone`, if the zone is known.
 ///
 /// # Errors
-/// The first rule that forbids it.
+/// Returns the first rule that forbids it.
 pub fn may_begin(
     now: Micros,
     request: &RequestFacts,
@@ -174,16 +177,17 @@
     may_repeat(now, request.effect, request.doubt, zone, limits.margin)
 }
 
-/// From when on another attempt may follow one whose connection was closed at `closed_at`. TCP orders nothing between two connections:
-/// at once, the next attempt's bytes might be worked off before the close, and two attempts be out to whoever sees both.
+/// Returns the time from which another attempt may follow one whose connection was closed at `closed_at`. TCP
+/// does not order bytes on different connections: if the next attempt followed at once, its db host might
+/// process it before the close, and would see two attempts in flight.
 pub fn settled_at(closed_at: Micros) -> Micros {
     closed_at + CLOSE_SETTLES_IN
 }
 
-/// Whether a request may run once more at `at`, for all that is known of its first attempt that may have run.
+/// Checks whether a request may be executed again at `at`, given its first attempt that may have executed.
 ///
 /// # Errors
-/// Why not.
+/// Returns why it may not.
 pub fn may_repeat(
     at: Micros,
     effect: Effect,
@@ -208,8 +212,8 @@
     }
 }
 
-/// From when on a request that may have run may not be written any more; `None` where nothing bounds that. Where it may never
-/// run twice that is at once.
+/// Returns the time from which a request that may have executed must no longer be written; `None` if there is
+/// no such limit. If it must never execute twice, that is the time of the first attempt.
 pub fn repeat_by(effect: Effect, doubt: Option<Doubt>, margin: Micros) -> Option<Micros> {
     let first = doubt?;
     match effect {
@@ -219,41 +223,45 @@
     }
 }
 
-/// What an attempt tells its db host of its client's time, and for how long that stays true enough.
+/// The remaining time that an attempt sends to its db host, and for how long that value is accurate enough.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Telling {
-    /// The time told.
+    /// The remaining time to send.
     pub told: Micros,
-    /// The last byte may follow so much later than this was worked out.
+    /// How long after the computation the last byte may be written.
     pub holds_for: Micros,
 }
 
-/// What an attempt of so many bytes may tell its db host where `left` is left to its client. The db host counts the time told from
-/// the last byte: a statement that no socket's buffer holds takes a while to write, and tells less by that.
+/// Computes the remaining time to send with an attempt of `bytes` bytes whose client waits for another
+/// `left`. The db host counts the time from the last byte, so the time that writing a large statement may
+/// take is subtracted.
 pub fn time_to_tell(left: Micros, bytes: usize) -> Telling {
     let writing = if bytes > AT_ONCE { (left / WRITING_SHARE).clamp(0, LONGEST_WRITING) } else { 0 };
     Telling { told: left - writing, holds_for: writing + TOLD_HOLDS_FOR }
 }
 
-/// What is known of an attempt when bytes of it are about to be written.
+/// The state of an attempt when bytes of it are about to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteFacts {
-    /// Until when its answer is waited for.
+    /// The time until which the driver waits for its answer.
     pub until: Micros,
-    /// From when on its last byte may not be written any more: then, or earlier where it is a repeat.
+    /// The time from which its last byte must not be written any more: `until`, or earlier if the attempt is
+    /// a repeat.
     pub write_by: Micros,
-    /// Until when the time told in it is true enough, once it is worked out.
+    /// The time until which the remaining time sent with it is accurate enough; `None` before it has been
+    /// computed.
     pub told_until: Option<Micros>,
-    /// Its first byte is written.
+    /// Whether its first byte has been written.
     pub begun: bool,
-    /// Whether its db host takes new work; of one that has begun that is of no matter.
+    /// The state of its db host. It matters only before the first byte.
     pub host: HostStanding,
 }
 
-/// Whether bytes of an attempt may be written now.
+/// Checks whether bytes of an attempt may be written now.
 ///
 /// # Errors
-/// Why not. Nothing of it has run then: its last byte was not written.
+/// Returns why they may not. Nothing of the attempt has executed then, because its last byte has not been
+/// written.
 pub fn may_write(now: Micros, attempt: &WriteFacts) -> Result<(), AttemptDenial> {
     if now >= attempt.until {
         return Err(AttemptDenial::DeadlinePassed);
@@ -270,10 +278,10 @@
     may_begin_at(attempt.host)
 }
 
-/// Whether a db host takes anything new.
+/// Checks whether a db host accepts new attempts.
 ///
 /// # Errors
-/// Why not.
+/// Returns why it does not.
 pub fn may_begin_at(host: HostStanding) -> Result<(), AttemptDenial> {
     match host {
         HostStanding::Open => Ok(()),
--- a/src/permission/connection.rs
+++ b/src/permission/connection.rs
@@ -1,4 +1,4 @@
-//! Connections: whether a pooled one may carry another request, and whether a client's may be closed.
+//! Rules on connections: whether a pooled one may be reused, and whether a client's connection may be closed.
 
 use super::HostStanding;
 use crate::interface::Micros;
@@ -6,31 +6,31 @@
 /// An idle connection to a db host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PooledConnection {
-    /// From when on its db host may drop it without a word.
+    /// The time from which its db host may have dropped it without notice.
     pub expires: Micros,
-    /// Nothing stands unread on it: no bytes, no end.
+    /// Whether the connection has neither unread bytes nor been closed by the other side.
     pub quiet: bool,
-    /// It leads to the address at which the db host is listed now.
+    /// Whether it leads to the address under which its db host is listed now.
     pub current_address: bool,
-    /// How its db host stands for new work.
+    /// Whether its db host accepts new attempts.
     pub host: HostStanding,
 }
 
 /// Why a pooled connection may not be used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReuseDenial {
-    /// Its db host may have dropped it.
+    /// The db host may have dropped it.
     Expired,
-    /// Bytes or an end have come that belong to no request.
+    /// Bytes or an end of stream have arrived that belong to no request.
     NotQuiet,
-    /// Its db host has moved to another address.
+    /// The db host has moved to another address.
     Moved,
-    /// Its db host takes nothing new.
+    /// The db host accepts no new attempts.
     HostClosed,
 }
 
 impl ReuseDenial {
-    /// Its name in the log.
+    /// The reason's name in logs.
     pub fn name(self) -> &'static str {
         match self {
             ReuseDenial::Expired => "expired",
@@ -41,10 +41,10 @@
     }
 }
 
-/// Whether an idle connection may carry another request now.
+/// Checks whether an idle connection may carry another request now.
 ///
 /// # Errors
-/// Why it has to be closed instead.
+/// Returns why it has to be closed instead.
 pub fn may_reuse(now: Micros, connection: &PooledConnection) -> Result<(), ReuseDenial> {
     if connection.host != HostStanding::Open {
         Err(ReuseDenial::HostClosed)
@@ -59,63 +59,65 @@
     }
 }
 
-/// Where a client's connection stands.
+/// The stage of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientStage {
-    /// It has not asked yet.
+    /// It has not sent a request yet.
     New,
-    /// Between two requests.
+    /// It is between two requests.
     Between,
-    /// A request is out.
+    /// It waits for the answer to a request.
     Waiting,
-    /// Its last message is being written.
+    /// The proxy is writing its last message.
     Closing,
-    /// It has its last message, and is read on until its client closes too.
+    /// The last message has been written; the proxy reads on until the client closes the connection too.
     Lingering,
 }
 
-/// What is known of a client's connection when it is to be closed.
+/// The state of a client's connection that is about to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientFacts {
-    /// Where it stands.
+    /// Its stage.
     pub stage: ClientStage,
-    /// Bytes of a message that it is owed an answer to were read and are not worked off. A first message that takes too long is
-    /// none where room is needed.
+    /// Whether part of a message that requires an answer has been read but not processed. When connections
+    /// are scarce, a first message that takes too long does not count.
     pub message_begun: bool,
-    /// Bytes of it, or its end, stand unread in the system.
+    /// Whether bytes from the client, or its end of stream, wait unread in the kernel.
     pub bytes_unread: bool,
-    /// Bytes of an answer are not written yet.
+    /// Whether bytes of an answer have not been written yet.
     pub answer_unwritten: bool,
-    /// It may still be about to ask for the first time, and is given that time.
+    /// Whether the first request may still arrive and the client is given time for it.
     pub may_ask_yet: bool,
 }
 
-/// Why a client's connection may not be closed by the proxy.
+/// Why the proxy may not close a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseDenial {
-    /// A request is out.
+    /// A request is being processed.
     RequestOut,
-    /// A message was read in part.
+    /// Part of a message has been read.
     MessageBegun,
-    /// A request may stand unread.
+    /// Unread bytes may contain a request.
     BytesUnread,
-    /// An answer is not written whole.
+    /// Part of an answer has not been written.
     AnswerUnwritten,
-    /// Its first request may be on its way.
+    /// The first request may be on its way.
     MayAskYet,
-    /// Its last message is being written.
+    /// The last message is being written.
     AlreadyClosing,
 }
 
-/// Whether a client's connection may be closed now: between requests, with nothing read, unread or unwritten.
+/// Checks whether a client's connection may be closed now: it must be between requests, with nothing
+/// partially read, unread or unwritten.
 ///
 /// # Errors
-/// Why not.
+/// Returns why it may not.
 pub fn may_close(client: &ClientFacts) -> Result<(), CloseDenial> {
     match client.stage {
         ClientStage::Waiting => return Err(CloseDenial::RequestOut),
         ClientStage::Closing => return Err(CloseDenial::AlreadyClosing),
-        // It has had everything; but bytes that stand unread would make the close a reset, which takes its last answer along.
+        // Everything has been written; but closing a socket with unread bytes sends a reset, and the client
+        // could lose its last answer.
         ClientStage::Lingering if client.bytes_unread => return Err(CloseDenial::BytesUnread),
         ClientStage::Lingering => return Ok(()),
         ClientStage::New if client.may_ask_yet => return Err(CloseDenial::MayAskYet),
--- a/src/permission/mod.rs
+++ b/src/permission/mod.rs
@@ -1,10 +1,12 @@
-//! What may be done now: the rules on attempts, connections and the process, in one place.
+//! The rules on attempts, connections and the process, in one place.
 //!
-//! Whoever is about to send, repeat, write, close or start something states the facts, with the time, and gets leave or a
-//! typed reason why not. Nothing here does I/O or reads a clock, and nothing keeps state: the same facts get the same answer
-//! on every path. [`invariant`](crate::invariant) is the other half: it judges what was done.
+//! Code that is about to send, repeat, write, close or start something passes the current state and the time,
+//! and gets permission or a typed reason for the denial. The functions do no I/O, read no clock and keep no
+//! state, so that the same state gives the same result on every code path. [`invariant`](crate::invariant) is
+//! the counterpart: it checks afterwards what was done.
 //!
-//! Sources: the protocol page and the page of the standing test; `docs/promises.md` lists the rules and the paths.
+//! The rules come from the protocol specification and the specification of the standing test;
+//! `docs/promises.md` lists them with the code paths.
 
 mod attempt;
 mod connection;
--- a/src/permission/process.rs
+++ b/src/permission/process.rs
@@ -1,18 +1,19 @@
-//! The process: whether it may take a request on, hand its socket over, end, and believe a list.
+//! Rules on the process: whether it may accept a request, hand its listening socket over, exit, and apply a
+//! member list.
 
 use crate::interface::Micros;
 
-/// Why a request is not taken on.
+/// Why a request is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TakeDenial {
-    /// Its client's wait was over before its turn came.
+    /// The client's deadline passed before the request's turn came.
     Expired,
 }
 
-/// Whether a request whose client waits until `deadline` may be worked on.
+/// Checks whether a request whose client waits until `deadline` may be processed.
 ///
 /// # Errors
-/// Why it is to be refused at once.
+/// Returns why it has to be refused at once.
 pub fn may_take(now: Micros, deadline: Micros) -> Result<(), TakeDenial> {
     if deadline <= now {
         Err(TakeDenial::Expired)
@@ -21,19 +22,19 @@
     }
 }
 
-/// Why the clients' socket is not left to another process.
+/// Why the clients' listening socket may not be left to another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandOverDenial {
-    /// This process has not been told to leave.
+    /// This process has not been told to terminate.
     Staying,
-    /// No other process was seen to serve since.
+    /// No other process has been seen to serve since then.
     NoSuccessor,
 }
 
-/// Whether the clients' socket may be left to a successor.
+/// Checks whether the clients' listening socket may be left to a successor.
 ///
 /// # Errors
-/// Why not.
+/// Returns why it may not.
 pub fn may_hand_over(terminating: bool, successor_serves: bool) -> Result<(), HandOverDenial> {
     match (terminating, successor_serves) {
         (false, _) => Err(HandOverDenial::Staying),
@@ -42,34 +43,34 @@
     }
 }
 
-/// What keeps a process that was told to leave.
+/// What can keep a process that was told to terminate from exiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessFacts {
-    /// The last moment has come: whoever waits longer is killed.
+    /// Whether the grace period is over, after which the process would be killed.
     pub must_leave: bool,
-    /// It accepts clients or was not told to leave.
+    /// Whether it accepts clients or has not been told to terminate.
     pub serving: bool,
-    /// Clients' connections that are open.
+    /// Whether client connections are open.
     pub clients_open: bool,
-    /// Requests without a final answer.
+    /// Whether there are requests without a final answer.
     pub requests_open: bool,
 }
 
-/// Why a process may not end yet.
+/// Why a process may not exit yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndDenial {
-    /// It accepts clients, or was not told to leave.
+    /// It accepts clients or has not been told to terminate.
     Serving,
     /// Clients are connected.
     ClientsOpen,
-    /// Requests have no final answer yet.
+    /// Requests have no final answer.
     RequestsOpen,
 }
 
-/// Whether the process may end now.
+/// Checks whether the process may exit now.
 ///
 /// # Errors
-/// Why not.
+/// Returns why it may not.
 pub fn may_end(process: &ProcessFacts) -> Result<(), EndDenial> {
     if process.must_leave {
         Ok(())
@@ -84,7 +85,7 @@
     }
 }
 
-/// Versions around a list of db hosts.
+/// The versions to compare when a list of db hosts arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListVersions {
     /// The version known when the call was made.
@@ -95,17 +96,18 @@
     pub told: u64,
 }
 
-/// Why a list is not believed.
+/// Why a list is not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListDenial {
-    /// Another call has told a later one since: this one would undo drains.
+    /// Another call has delivered a later list meanwhile; applying this one would undo drains.
     Older,
 }
 
-/// Whether a list may be applied. A version from before the call was made is no older list: discovery has begun to count anew.
+/// Checks whether a list may be applied. A version that is lower than the one known when the call was made
+/// does not mean an older list: the discovery service has restarted its count.
 ///
 /// # Errors
-/// Why not.
+/// Returns why it may not.
 pub fn may_apply_list(versions: ListVersions) -> Result<(), ListDenial> {
     if (versions.asked_after..versions.known).contains(&versions.told) {
         Err(ListDenial::Older)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,73 +1,73 @@
-//! Reads the settings object that every driver is handed: the simulator's first message holds it, and so does
-//! the proxy's configuration.
+//! Parses the settings object that every driver gets. It is part of the simulator's first message and of the
+//! proxy's configuration.
 
 use serde_json::{Map, Value};
 
 use crate::interface::*;
 
-/// What is wrong with the input, in words.
+/// The error is a message that says what is wrong with the input.
 pub type Result<T> = std::result::Result<T, String>;
 
-/// The names in the settings, by the numbers that the library's types use.
+/// The names in the settings, indexed by the numbers that the library uses for them.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Request classes, as in [`Settings::classes`].
+    /// Request classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// Tenants, as in [`Settings::tenants`].
+    /// Tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
-    /// Fields of a load report.
+    /// Fields of a member's load report.
     pub fields: Vec<String>,
-    /// The time from which the settings' own clock counts positions.
+    /// The time that is position 0 on the settings' clock.
     pub zero: Micros,
 }
 
 impl Names {
-    /// The number of a zone.
+    /// Returns the index of a zone.
     pub fn zone(&self, zone: &str) -> Result<ZoneId> {
         let at = self.zones.iter().position(|z| z == zone);
         at.map(ZoneId).ok_or_else(|| format!("unknown zone {zone:?}"))
     }
 
-    /// The number of a tenant.
+    /// Returns the index of a tenant.
     pub fn tenant(&self, tenant: &str) -> Option<TenantId> {
         self.tenants.iter().position(|t| t == tenant).map(TenantId)
     }
 
-    /// The number of a class.
+    /// Returns the index of a class.
     pub fn class(&self, class: &str) -> Option<ClassId> {
         self.classes.iter().position(|c| c == class).map(ClassId)
     }
 }
 
-/// What the settings say of connections; the library itself has no use for it.
+/// Connection settings. The library itself does not use them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Connections {
-    /// A member closes a connection that stood idle this long.
+    /// A member closes a connection that has been idle for this long.
     pub idle: Micros,
-    /// A connection that is not up by then has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
 }
 
-/// The settings object, read.
+/// The parsed settings object.
 #[derive(Clone, Debug)]
 pub struct Facts {
-    /// What the balancer is told.
+    /// The settings of the balancer.
     pub settings: Settings,
-    /// The names behind its numbers.
+    /// The names behind the numbers in `settings`.
     pub names: Names,
-    /// What drivers with connections of their own need to know.
+    /// Settings for drivers that manage connections themselves.
     pub connections: Connections,
 }
 
-/// Milliseconds to microseconds; nothing for what is no time that a clock can hold.
+/// Converts milliseconds to microseconds; `None` if the value is not a number or too large for a clock.
 pub fn time(v: &Value) -> Option<Micros> {
     let ms = v.as_f64().filter(|ms| ms.abs() < 1e12)?;
     Some((ms * 1000.0).round() as Micros)
 }
 
-/// Keys of one object of the settings; those that the library has no use for are passed over.
+/// Access to the keys of one object of the settings. Keys that the library does not use are ignored.
 struct Keys<'a> {
     path: &'a str,
     map: &'a Map<String, Value>,
@@ -92,12 +92,12 @@
         self.need(key, "a time", time)
     }
 
-    /// A time that lasts: what is negative is none.
+    /// A duration, which must not be negative.
     fn span(&self, key: &str) -> Result<Micros> {
         self.need(key, "a time of 0 or more", |v| time(v).filter(|t| *t >= 0))
     }
 
-    /// A time in which something has to come to pass: in none nothing could.
+    /// A time limit, which must be above zero, since nothing could meet a limit of zero.
     fn limit(&self, key: &str) -> Result<Micros> {
         self.need(key, "a time above 0", |v| time(v).filter(|t| *t > 0))
     }
@@ -132,7 +132,7 @@
     }
 }
 
-/// Reads the settings object.
+/// Parses the settings object.
 pub fn read(facts: &Value) -> Result<Facts> {
     let facts = Keys::new("facts", Some(facts))?;
     let family = Keys::new("facts.familyInfo", facts.map.get("familyInfo"))?;
@@ -156,7 +156,7 @@
     }
     let tenants = tenants(&facts, &mut names.tenants)?;
     let (fleet, me) = (facts.count("fleetSize")?, facts.count("me")?);
-    // All that is bounded over the fleet is divided by it.
+    // Limits for the whole fleet are divided by its size.
     if fleet == 0 {
         return Err("facts.fleetSize is 0: there is this proxy at least".into());
     }
@@ -191,13 +191,13 @@
         allowed: allowed(&facts)?,
         prices: prices(&facts)?,
         tenants,
-        // Of no use where nobody has a share.
+        // Not needed without tenants.
         over_share_worth: if names.tenants.is_empty() { 1.0 } else { facts.amount("overShareWorth")? },
     };
     Ok(Facts { settings, names, connections: connections(&facts)? })
 }
 
-/// The tenants, and their names; a deployment may have none.
+/// Reads the tenants and their names; a deployment may have none.
 fn tenants(facts: &Keys, names: &mut Vec<String>) -> Result<Vec<Tenant>> {
     let mut tenants = Vec::new();
     let list = facts.map.get("customers").map_or(Ok(None), |_| facts.list("customers").map(Some))?;
@@ -218,7 +218,7 @@
 
 fn connections(facts: &Keys) -> Result<Connections> {
     let k = Keys::new("facts.allowed", facts.map.get("allowed"))?;
-    // The simulator keeps the connections itself, so its adapter can do without these.
+    // The simulator manages connections itself, so its adapter may omit these.
     let given = |key: &str| k.map.contains_key(key);
     Ok(Connections {
         idle: if given("connIdle") { k.span("connIdle")? } else { 30_000_000 },
@@ -312,7 +312,7 @@
     Ok(Prices { probe: k.amount("probe")?, cross_zone: k.amount("crossZone")?, waste: k.amount("waste")? })
 }
 
-/// The FNV-1a hash: every driver's number for the same name.
+/// The FNV-1a hash of a name, which is the same for every driver.
 pub fn fnv(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
