--- a/crates/gradeshunt/tests/config.rs
+++ b/crates/gradeshunt/tests/config.rs
@@ -22,8 +22,12 @@
             good.replace("\"fleetSize\": 1", "\"fleetSize\": -3"),
             "fleetSize is not a whole number",
         ),
-        ("beyond-fleet", good.replace("\"me\": 0", "\"me\": 1"), "me is 1, of proxies 0 to 0"),
-        ("odd-tenant", shared.replace("60.0", "-1.0"), "quotaRps of \"north\" is -1, and no rate"),
+        (
+            "beyond-fleet",
+            good.replace("\"me\": 0", "\"me\": 1"),
+            "me is 1, but must be below facts.fleetSize (1)",
+        ),
+        ("odd-tenant", shared.replace("60.0", "-1.0"), "quotaRps of \"north\" is -1, but must be 0 or more"),
         ("twice-a-tenant", shared.replace("south", "north"), "names \"north\" twice"),
         ("no-worth", shared.replace("overShareWorth", "overWorth"), "overShareWorth is missing"),
         (
--- a/src/bin/leadmast-wirehost/main.rs
+++ b/src/bin/leadmast-wirehost/main.rs
@@ -30,7 +30,7 @@
     fn batch(&mut self, line: &str) -> Result<Value> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let wall = batch.get("wall").and_then(Value::as_f64).filter(|w| w.abs() < 1e12);
-        let now = (wall.ok_or("the batch has no clock in wall")? * 1000.0).round() as i64;
+        let now = (wall.ok_or("the batch has no time in wall")? * 1000.0).round() as i64;
         let seq = batch.get("seq").filter(|s| s.is_u64()).ok_or("the batch has no number in seq")?;
         let groups = batch.get("groups").and_then(Value::as_array).ok_or("the batch has no groups")?;
         let mut replies = Vec::new();
--- a/src/bin/leadmast-wirehost/wire.rs
+++ b/src/bin/leadmast-wirehost/wire.rs
@@ -113,7 +113,7 @@
         "CANCELLED_BY_CLIENT" => Event::Gone { request: RequestId(row.int(1, "corr")?) },
         "DUE" => {
             let tag = row.text(1, "tag")?;
-            let tag = tag.parse().map_err(|_| format!("DUE: tag is not one of ours: {tag:?}"))?;
+            let tag = tag.parse().map_err(|_| format!("DUE: unknown tag {tag:?}"))?;
             Event::Timer { tag: TimerTag(tag) }
         }
         "HEALTH" => Event::Probed(Probed {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -128,7 +128,7 @@
     }
 
     fn word<T>(&self, key: &str, f: impl Fn(&str) -> Option<T>) -> Result<T> {
-        self.need(key, "a known word", |v| f(v.as_str()?))
+        self.need(key, "a known value", |v| f(v.as_str()?))
     }
 }
 
@@ -152,16 +152,16 @@
         names.classes.push(name.to_owned());
     }
     if names.classes.is_empty() {
-        return Err("facts.categories is empty: no request could be of any class".into());
+        return Err("facts.categories is empty: at least one class is required".into());
     }
     let tenants = tenants(&facts, &mut names.tenants)?;
     let (fleet, me) = (facts.count("fleetSize")?, facts.count("me")?);
     // Limits for the whole fleet are divided by its size.
     if fleet == 0 {
-        return Err("facts.fleetSize is 0: there is this proxy at least".into());
+        return Err("facts.fleetSize is 0, but must be 1 or more".into());
     }
     if me >= fleet {
-        return Err(format!("facts.me is {me}, of proxies 0 to {}", fleet - 1));
+        return Err(format!("facts.me is {me}, but must be below facts.fleetSize ({fleet})"));
     }
     let settings = Settings {
         classes: classes(&facts, &family)?,
@@ -208,7 +208,7 @@
             return Err(format!("facts.customers names {name:?} twice"));
         }
         if rate.is_nan() || rate < 0.0 {
-            return Err(format!("facts.customers[].quotaRps of {name:?} is {rate}, and no rate"));
+            return Err(format!("facts.customers[].quotaRps of {name:?} is {rate}, but must be 0 or more"));
         }
         names.push(name.to_owned());
         tenants.push(Tenant { rate });
@@ -239,7 +239,7 @@
     let (levels, bounds) = (family.texts("readLevel")?, family.list("lagAllowed")?);
     let list = facts.list("categories")?;
     if levels.len() != list.len() || bounds.len() != list.len() {
-        return Err("familyInfo.readLevel or lagAllowed does not fit categories".into());
+        return Err("familyInfo.readLevel and lagAllowed need one entry for each of categories".into());
     }
     let mut classes = Vec::new();
     for (i, v) in list.iter().enumerate() {
@@ -294,7 +294,7 @@
     let k = Keys::new("facts.allowed", facts.map.get("allowed"))?;
     let attempts = k.count("sendCap")?;
     if attempts == 0 {
-        return Err("facts.allowed.sendCap is 0: nothing could ever be sent".into());
+        return Err("facts.allowed.sendCap is 0, but must be 1 or more".into());
     }
     Ok(Allowed {
         attempts,
