--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -5,7 +5,8 @@
 
 use leadmast::invariant::Rule;
 use leadmast::permission::{
-    may_begin_at, may_write, time_to_tell, AttemptDenial, HostStanding, Telling, WriteFacts,
+    may_begin_at_host, may_write, remaining_time_to_send, AttemptDenial, HostStanding, RemainingTime,
+    WriteFacts,
 };
 use leadmast::{Ending, MemberId, Micros, Probed};
 use slog::{debug, info};
@@ -118,9 +119,18 @@
         let allowed = match job {
             Job::Attempt { until, write_by, .. } => {
                 let (until, write_by) = (*until, *write_by);
-                may_write(now, &WriteFacts { until, write_by, told_until: None, begun: false, host })
+                may_write(
+                    now,
+                    &WriteFacts {
+                        answer_deadline: until,
+                        write_by,
+                        remaining_valid_until: None,
+                        first_byte_written: false,
+                        host,
+                    },
+                )
             }
-            Job::Probe { .. } => may_begin_at(host),
+            Job::Probe { .. } => may_begin_at_host(host),
         };
         allowed.err()
     }
@@ -135,7 +145,17 @@
         }
         let host = self.hosts.get(&s.member).map_or(HostStanding::Unknown, Host::standing);
         let Sending { told_until, begun, .. } = s.sending;
-        may_write(now, &WriteFacts { until: *until, write_by: *write_by, told_until, begun, host }).err()
+        may_write(
+            now,
+            &WriteFacts {
+                answer_deadline: *until,
+                write_by: *write_by,
+                remaining_valid_until: told_until,
+                first_byte_written: begun,
+                host,
+            },
+        )
+        .err()
     }
 
     /// A job ends that was not written, or not to its end.
@@ -190,8 +210,9 @@
                 }
                 let (before, after) = body.around_wait();
                 let now = turn.clock.now();
-                let Telling { told, holds_for } = time_to_tell(*until - now, body.len());
-                let told_ms = (told / 1000).max(1);
+                let RemainingTime { remaining, valid_for: holds_for } =
+                    remaining_time_to_send(*until - now, body.len());
+                let told_ms = (remaining / 1000).max(1);
                 // Of a plain statement the db host is told nothing.
                 if body.tells_wait() {
                     let told_until = Some(now + holds_for);
--- a/crates/gradeshunt/src/exchange/decisions.rs
+++ b/crates/gradeshunt/src/exchange/decisions.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use leadmast::permission::{may_begin, repeat_by};
+use leadmast::permission::{may_begin, repeat_deadline};
 use leadmast::{Action, Ending, Entry, Event, ListKind, MemberId, Micros, Outcome, RequestId, TimerTag};
 use slog::debug;
 
@@ -106,7 +106,8 @@
         }
         // A repeat is none only within its window, counted from the first send: a connection that comes up late must not
         // carry it past that.
-        let write_by = repeat_by(facts.effect, facts.doubt, self.limits.margin).unwrap_or(until);
+        let write_by =
+            repeat_deadline(facts.effect, facts.possible_execution, self.limits.margin).unwrap_or(until);
         self.note_retry(after);
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.out = Some(Out { number, member, since: turn.now });
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -2,7 +2,7 @@
 //! from here after all.
 
 use gradeshunt_placement::Source;
-use leadmast::permission::{may_repeat, repeat_by, Doubt};
+use leadmast::permission::{may_repeat, repeat_deadline, PossibleExecution};
 use leadmast::{Arrival, Ending, Event, MemberId, Micros, RequestId};
 use slog::{debug, warn};
 
@@ -83,8 +83,8 @@
         let number = FIRST_FORWARD + forward.tried.len() as u32;
         debug!(turn.log, "sent on"; "request" => id.0, "member" => peer.0);
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let doubt = r.doubt_since.map(|since| Doubt { since, zone: None });
-        let write_by = repeat_by(r.effect, doubt, self.limits.margin).map_or(until, |by| by.min(until));
+        let doubt = r.doubt_since.map(|since| PossibleExecution { sent_at: since, zone: None });
+        let write_by = repeat_deadline(r.effect, doubt, self.limits.margin).map_or(until, |by| by.min(until));
         r.out = Some(Out { number, member: peer, since: turn.now });
         r.forward = Some(Box::new(forward));
         let body = std::rc::Rc::clone(&r.body);
@@ -95,7 +95,7 @@
     /// Whether a request that may have run may be sent once more at `at`.
     fn may_repeat(&self, now: Micros, id: RequestId, at: Micros) -> bool {
         let Some(r) = self.requests.get(&id) else { return false };
-        let doubt = Doubt { since: r.doubt_since.unwrap_or(now), zone: None };
+        let doubt = PossibleExecution { sent_at: r.doubt_since.unwrap_or(now), zone: None };
         may_repeat(at, r.effect, Some(doubt), None, self.limits.margin).is_ok()
     }
 
--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use gradeshunt_placement::Bucket;
-use leadmast::permission::{Doubt, RequestFacts};
+use leadmast::permission::{PossibleExecution, RequestFacts};
 use leadmast::{Arrival, ClassId, Effect, Ending, GroupId, MemberId, Micros, TenantId};
 
 use super::messages::{Body, ROOM};
@@ -113,8 +113,10 @@
             answered: self.over,
             client_left: self.left.is_some(),
             begun: self.sends,
-            out: u32::from(self.out.is_some()),
-            doubt: self.doubt_since.map(|since| Doubt { since, zone: None }),
+            in_flight: u32::from(self.out.is_some()),
+            possible_execution: self
+                .doubt_since
+                .map(|since| PossibleExecution { sent_at: since, zone: None }),
             settled_at: self.settled_at,
         }
     }
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -7,7 +7,7 @@
     fade, Attempt, Balancer, Request, CROWDED, LAG_FADES_IN, NEVER, PROBE_WAIT_PACES, TIMEOUT_FACTORS,
 };
 use crate::interface::{Action, Effect, GroupId, MemberId, Micros, ReadLevel, RequestId, ZoneId};
-use crate::permission::{may_begin, AttemptLimits, Doubt, RequestFacts};
+use crate::permission::{may_begin, AttemptLimits, PossibleExecution, RequestFacts};
 
 impl Balancer {
     /// Sends the requests that the group holds as far as members have room, in order of worth per work.
@@ -120,8 +120,8 @@
     /// Whether the class's effect, the attempt limit and the settings permit another attempt in this zone.
     pub(super) fn may_send(&self, now: Micros, r: &Request, zone: ZoneId) -> bool {
         let allowed = &self.settings.allowed;
-        let doubt = r.doubt().map(|first| Doubt {
-            since: r.copied_from.map_or(first.sent, |at| at.min(first.sent)),
+        let doubt = r.doubt().map(|first| PossibleExecution {
+            sent_at: r.copied_from.map_or(first.sent, |at| at.min(first.sent)),
             zone: Some(first.zone),
         });
         let request = RequestFacts {
@@ -131,8 +131,8 @@
             // When a client leaves, the driver reports it and the request is closed before.
             client_left: false,
             begun: r.attempts.len() as u32,
-            out: r.out() as u32,
-            doubt,
+            in_flight: r.out() as u32,
+            possible_execution: doubt,
             settled_at: r.settled_at,
         };
         let limits = AttemptLimits {
--- a/src/permission/attempt.rs
+++ b/src/permission/attempt.rs
@@ -5,21 +5,21 @@
 
 /// The last byte of an attempt is written at most this long after the remaining time sent with it was
 /// computed. The rule allows 0.15 s, most of which the process may spend descheduled.
-const TOLD_HOLDS_FOR: Micros = 50_000;
+const REMAINING_VALID_FOR: Micros = 50_000;
 /// Statements up to this size fit into the socket buffers of any connection, so writing them takes no time.
-const AT_ONCE: usize = 32 * 1024;
+const MAX_BUFFERED_BYTES: usize = 32 * 1024;
 /// Writing a longer statement may take this fraction (one in so many) of its client's remaining time, but no
 /// longer than the limit below.
-const WRITING_SHARE: Micros = 4;
-const LONGEST_WRITING: Micros = 1_000_000;
+const WRITING_TIME_DIVISOR: Micros = 4;
+const MAX_WRITING_TIME: Micros = 1_000_000;
 /// How much longer the close of a connection may take to reach its db host than bytes on another connection.
-const CLOSE_SETTLES_IN: Micros = 2_000;
+const CLOSE_DELAY: Micros = 2_000;
 
 /// The fact that an earlier attempt of a request may have executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubt {
+pub struct PossibleExecution {
     /// When the first such attempt was sent.
-    pub since: Micros,
+    pub sent_at: Micros,
     /// The zone of its db host, if known.
     pub zone: Option<ZoneId>,
 }
@@ -38,9 +38,9 @@
     /// Number of attempts begun so far.
     pub begun: u32,
     /// Number of attempts that have not ended.
-    pub out: u32,
+    pub in_flight: u32,
     /// The first attempt that may have executed.
-    pub doubt: Option<Doubt>,
+    pub possible_execution: Option<PossibleExecution>,
     /// When the closes of its earlier attempts' connections take effect, if any was closed; see
     /// [`settled_at`].
     pub settled_at: Option<Micros>,
@@ -82,16 +82,16 @@
     /// The client's deadline has passed.
     DeadlinePassed,
     /// The remaining time sent with the attempt is no longer accurate enough.
-    TimeToldPassed,
+    RemainingTimeExpired,
     /// Another attempt is in flight, and the settings do not allow a second one.
-    AttemptOut,
+    AttemptInFlight,
     /// The connection of an earlier attempt was closed so recently that its db host may still count that
     /// attempt as in flight.
     CloseUnsettled,
     /// The request has used up its attempts.
     AttemptsUsed,
     /// An earlier attempt may have executed, and the class must never execute twice.
-    MayHaveRun,
+    MayHaveExecuted,
     /// An earlier attempt may have executed, and its window, in which db hosts drop repeats, is over.
     WindowOver,
     /// An earlier attempt may have executed in another zone, and only the db hosts of that zone drop repeats.
@@ -112,11 +112,11 @@
         AttemptDenial::Answered,
         AttemptDenial::ClientLeft,
         AttemptDenial::DeadlinePassed,
-        AttemptDenial::TimeToldPassed,
-        AttemptDenial::AttemptOut,
+        AttemptDenial::RemainingTimeExpired,
+        AttemptDenial::AttemptInFlight,
         AttemptDenial::CloseUnsettled,
         AttemptDenial::AttemptsUsed,
-        AttemptDenial::MayHaveRun,
+        AttemptDenial::MayHaveExecuted,
         AttemptDenial::WindowOver,
         AttemptDenial::OtherZone,
         AttemptDenial::HostDraining,
@@ -131,11 +131,11 @@
             AttemptDenial::Answered => "answered",
             AttemptDenial::ClientLeft => "client_left",
             AttemptDenial::DeadlinePassed => "deadline_passed",
-            AttemptDenial::TimeToldPassed => "time_told_passed",
-            AttemptDenial::AttemptOut => "attempt_out",
+            AttemptDenial::RemainingTimeExpired => "time_told_passed",
+            AttemptDenial::AttemptInFlight => "attempt_out",
             AttemptDenial::CloseUnsettled => "close_unsettled",
             AttemptDenial::AttemptsUsed => "attempts_used",
-            AttemptDenial::MayHaveRun => "may_have_run",
+            AttemptDenial::MayHaveExecuted => "may_have_run",
             AttemptDenial::WindowOver => "window_over",
             AttemptDenial::OtherZone => "other_zone",
             AttemptDenial::HostDraining => "host_draining",
@@ -165,8 +165,8 @@
     if request.begun >= limits.attempts {
         return Err(AttemptDenial::AttemptsUsed);
     }
-    if request.out > 0 && !limits.second_copies {
-        return Err(AttemptDenial::AttemptOut);
+    if request.in_flight > 0 && !limits.second_copies {
+        return Err(AttemptDenial::AttemptInFlight);
     }
     if request.settled_at.is_some_and(|at| now < at) && !limits.second_copies {
         return Err(AttemptDenial::CloseUnsettled);
@@ -174,14 +174,14 @@
     if now >= request.deadline {
         return Err(AttemptDenial::DeadlinePassed);
     }
-    may_repeat(now, request.effect, request.doubt, zone, limits.margin)
+    may_repeat(now, request.effect, request.possible_execution, zone, limits.margin)
 }
 
 /// Returns the time from which another attempt may follow one whose connection was closed at `closed_at`. TCP
 /// does not order bytes on different connections: if the next attempt followed at once, its db host might
 /// process it before the close, and would see two attempts in flight.
 pub fn settled_at(closed_at: Micros) -> Micros {
-    closed_at + CLOSE_SETTLES_IN
+    closed_at + CLOSE_DELAY
 }
 
 /// Checks whether a request may be executed again at `at`, given its first attempt that may have executed.
@@ -191,19 +191,19 @@
 pub fn may_repeat(
     at: Micros,
     effect: Effect,
-    doubt: Option<Doubt>,
+    earlier: Option<PossibleExecution>,
     zone: Option<ZoneId>,
     margin: Micros,
 ) -> Result<(), AttemptDenial> {
-    let Some(first) = doubt else { return Ok(()) };
+    let Some(first) = earlier else { return Ok(()) };
     match effect {
         Effect::Safe => Ok(()),
-        Effect::Unsafe => Err(AttemptDenial::MayHaveRun),
+        Effect::Unsafe => Err(AttemptDenial::MayHaveExecuted),
         Effect::Keyed { scope, window } => {
             let elsewhere = first.zone.zip(zone).is_some_and(|(first, zone)| first != zone);
             if scope == Scope::Zone && elsewhere {
                 Err(AttemptDenial::OtherZone)
-            } else if at - first.since + margin >= window {
+            } else if at - first.sent_at + margin >= window {
                 Err(AttemptDenial::WindowOver)
             } else {
                 Ok(())
@@ -214,45 +214,46 @@
 
 /// Returns the time from which a request that may have executed must no longer be written; `None` if there is
 /// no such limit. If it must never execute twice, that is the time of the first attempt.
-pub fn repeat_by(effect: Effect, doubt: Option<Doubt>, margin: Micros) -> Option<Micros> {
-    let first = doubt?;
+pub fn repeat_deadline(effect: Effect, earlier: Option<PossibleExecution>, margin: Micros) -> Option<Micros> {
+    let first = earlier?;
     match effect {
         Effect::Safe => None,
-        Effect::Unsafe => Some(first.since),
-        Effect::Keyed { window, .. } => Some(first.since + window - margin),
+        Effect::Unsafe => Some(first.sent_at),
+        Effect::Keyed { window, .. } => Some(first.sent_at + window - margin),
     }
 }
 
 /// The remaining time that an attempt sends to its db host, and for how long that value is accurate enough.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Telling {
+pub struct RemainingTime {
     /// The remaining time to send.
-    pub told: Micros,
+    pub remaining: Micros,
     /// How long after the computation the last byte may be written.
-    pub holds_for: Micros,
+    pub valid_for: Micros,
 }
 
 /// Computes the remaining time to send with an attempt of `bytes` bytes whose client waits for another
 /// `left`. The db host counts the time from the last byte, so the time that writing a large statement may
 /// take is subtracted.
-pub fn time_to_tell(left: Micros, bytes: usize) -> Telling {
-    let writing = if bytes > AT_ONCE { (left / WRITING_SHARE).clamp(0, LONGEST_WRITING) } else { 0 };
-    Telling { told: left - writing, holds_for: writing + TOLD_HOLDS_FOR }
+pub fn remaining_time_to_send(left: Micros, bytes: usize) -> RemainingTime {
+    let writing =
+        if bytes > MAX_BUFFERED_BYTES { (left / WRITING_TIME_DIVISOR).clamp(0, MAX_WRITING_TIME) } else { 0 };
+    RemainingTime { remaining: left - writing, valid_for: writing + REMAINING_VALID_FOR }
 }
 
 /// The state of an attempt when bytes of it are about to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteFacts {
     /// The time until which the driver waits for its answer.
-    pub until: Micros,
+    pub answer_deadline: Micros,
     /// The time from which its last byte must not be written any more: `until`, or earlier if the attempt is
     /// a repeat.
     pub write_by: Micros,
     /// The time until which the remaining time sent with it is accurate enough; `None` before it has been
     /// computed.
-    pub told_until: Option<Micros>,
+    pub remaining_valid_until: Option<Micros>,
     /// Whether its first byte has been written.
-    pub begun: bool,
+    pub first_byte_written: bool,
     /// The state of its db host. It matters only before the first byte.
     pub host: HostStanding,
 }
@@ -263,26 +264,26 @@
 /// Returns why they may not. Nothing of the attempt has executed then, because its last byte has not been
 /// written.
 pub fn may_write(now: Micros, attempt: &WriteFacts) -> Result<(), AttemptDenial> {
-    if now >= attempt.until {
+    if now >= attempt.answer_deadline {
         return Err(AttemptDenial::DeadlinePassed);
     }
     if now >= attempt.write_by {
         return Err(AttemptDenial::WindowOver);
     }
-    if attempt.told_until.is_some_and(|until| now > until) {
-        return Err(AttemptDenial::TimeToldPassed);
+    if attempt.remaining_valid_until.is_some_and(|until| now > until) {
+        return Err(AttemptDenial::RemainingTimeExpired);
     }
-    if attempt.begun {
+    if attempt.first_byte_written {
         return Ok(());
     }
-    may_begin_at(attempt.host)
+    may_begin_at_host(attempt.host)
 }
 
 /// Checks whether a db host accepts new attempts.
 ///
 /// # Errors
 /// Returns why it does not.
-pub fn may_begin_at(host: HostStanding) -> Result<(), AttemptDenial> {
+pub fn may_begin_at_host(host: HostStanding) -> Result<(), AttemptDenial> {
     match host {
         HostStanding::Open => Ok(()),
         HostStanding::Draining => Err(AttemptDenial::HostDraining),
--- a/src/permission/mod.rs
+++ b/src/permission/mod.rs
@@ -13,8 +13,8 @@
 mod process;
 
 pub use attempt::{
-    may_begin, may_begin_at, may_repeat, may_write, repeat_by, settled_at, time_to_tell, AttemptDenial,
-    AttemptLimits, Doubt, HostStanding, RequestFacts, Telling, WriteFacts,
+    may_begin, may_begin_at_host, may_repeat, may_write, remaining_time_to_send, repeat_deadline, settled_at,
+    AttemptDenial, AttemptLimits, HostStanding, PossibleExecution, RemainingTime, RequestFacts, WriteFacts,
 };
 pub use connection::{
     may_close, may_reuse, ClientFacts, ClientStage, CloseDenial, PooledConnection, ReuseDenial,
--- a/tests/permission.rs
+++ b/tests/permission.rs
@@ -19,8 +19,8 @@
         answered: false,
         client_left: false,
         begun: 0,
-        out: 0,
-        doubt: None,
+        in_flight: 0,
+        possible_execution: None,
         settled_at: None,
     }
 }
@@ -29,8 +29,8 @@
     AttemptLimits { attempts: 3, second_copies: false, margin: MARGIN }
 }
 
-fn doubt(since: Micros) -> Option<Doubt> {
-    Some(Doubt { since, zone: Some(ZoneId(1)) })
+fn doubt(since: Micros) -> Option<PossibleExecution> {
+    Some(PossibleExecution { sent_at: since, zone: Some(ZoneId(1)) })
 }
 
 #[test]
@@ -42,8 +42,8 @@
     assert_eq!(begin(0, RequestFacts { answered: true, ..fresh }), Err(AttemptDenial::Answered));
     assert_eq!(begin(0, RequestFacts { client_left: true, ..fresh }), Err(AttemptDenial::ClientLeft));
     assert_eq!(begin(0, RequestFacts { begun: 3, ..fresh }), Err(AttemptDenial::AttemptsUsed));
-    let out = RequestFacts { begun: 1, out: 1, ..fresh };
-    assert_eq!(begin(0, out), Err(AttemptDenial::AttemptOut));
+    let out = RequestFacts { begun: 1, in_flight: 1, ..fresh };
+    assert_eq!(begin(0, out), Err(AttemptDenial::AttemptInFlight));
     let copies = AttemptLimits { second_copies: true, ..limits() };
     assert_eq!(may_begin(0, &out, &copies, None), Ok(()));
 }
@@ -53,7 +53,7 @@
     let repeat = |at, effect, zone| may_repeat(at, effect, doubt(0), zone, MARGIN);
     let here = Some(ZoneId(1));
     assert_eq!(repeat(DEADLINE, Effect::Safe, here), Ok(()));
-    assert_eq!(repeat(0, Effect::Unsafe, here), Err(AttemptDenial::MayHaveRun));
+    assert_eq!(repeat(0, Effect::Unsafe, here), Err(AttemptDenial::MayHaveExecuted));
     assert_eq!(may_repeat(0, Effect::Unsafe, None, here, MARGIN), Ok(()));
     let last = WINDOW - MARGIN;
     assert_eq!(repeat(last - 1, keyed(Scope::All), here), Ok(()));
@@ -62,22 +62,27 @@
     assert_eq!(repeat(0, keyed(Scope::Zone), None), Ok(()), "where the zone is not known others have asked");
     assert_eq!(repeat(0, keyed(Scope::Group), Some(ZoneId(2))), Ok(()));
     // The bound is the first moment that is denied.
-    assert_eq!(repeat_by(keyed(Scope::All), doubt(7), MARGIN), Some(7 + last));
-    assert_eq!(repeat_by(Effect::Unsafe, doubt(7), MARGIN), Some(7));
-    assert_eq!(repeat_by(Effect::Safe, doubt(7), MARGIN), None);
-    assert_eq!(repeat_by(keyed(Scope::All), None, MARGIN), None);
+    assert_eq!(repeat_deadline(keyed(Scope::All), doubt(7), MARGIN), Some(7 + last));
+    assert_eq!(repeat_deadline(Effect::Unsafe, doubt(7), MARGIN), Some(7));
+    assert_eq!(repeat_deadline(Effect::Safe, doubt(7), MARGIN), None);
+    assert_eq!(repeat_deadline(keyed(Scope::All), None, MARGIN), None);
 }
 
 #[test]
 fn attempt_is_written_in_its_time_and_begun_only_at_an_open_host() {
-    let facts =
-        WriteFacts { until: 1_000, write_by: 900, told_until: None, begun: false, host: HostStanding::Open };
+    let facts = WriteFacts {
+        answer_deadline: 1_000,
+        write_by: 900,
+        remaining_valid_until: None,
+        first_byte_written: false,
+        host: HostStanding::Open,
+    };
     assert_eq!(may_write(899, &facts), Ok(()));
     assert_eq!(may_write(900, &facts), Err(AttemptDenial::WindowOver));
     assert_eq!(may_write(1_000, &facts), Err(AttemptDenial::DeadlinePassed));
-    let told = WriteFacts { told_until: Some(500), ..facts };
+    let told = WriteFacts { remaining_valid_until: Some(500), ..facts };
     assert_eq!(may_write(500, &told), Ok(()));
-    assert_eq!(may_write(501, &told), Err(AttemptDenial::TimeToldPassed));
+    assert_eq!(may_write(501, &told), Err(AttemptDenial::RemainingTimeExpired));
     for (host, denial) in [
         (HostStanding::Draining, AttemptDenial::HostDraining),
         (HostStanding::Gone, AttemptDenial::HostGone),
@@ -85,7 +90,11 @@
         (HostStanding::Unknown, AttemptDenial::HostUnknown),
     ] {
         assert_eq!(may_write(0, &WriteFacts { host, ..facts }), Err(denial));
-        assert_eq!(may_write(0, &WriteFacts { host, begun: true, ..facts }), Ok(()), "it is finished there");
+        assert_eq!(
+            may_write(0, &WriteFacts { host, first_byte_written: true, ..facts }),
+            Ok(()),
+            "it is finished there"
+        );
     }
 }
 
@@ -94,12 +103,15 @@
 fn time_told_is_true_until_the_last_byte() {
     for left in [1, 1_000, 400_000, 30_000_000] {
         for bytes in [100, 32 * 1024, 250_000] {
-            let Telling { told, holds_for } = time_to_tell(left, bytes);
-            assert!(told + holds_for <= left + 50_000 && told > 0, "{left}, {bytes}: {told}, {holds_for}");
+            let RemainingTime { remaining, valid_for: holds_for } = remaining_time_to_send(left, bytes);
+            assert!(
+                remaining + holds_for <= left + 50_000 && remaining > 0,
+                "{left}, {bytes}: {remaining}, {holds_for}"
+            );
         }
     }
-    assert_eq!(time_to_tell(400_000, 200).told, 400_000);
-    assert!(time_to_tell(400_000, 250_000).holds_for > 100_000, "a slow network has time for it");
+    assert_eq!(remaining_time_to_send(400_000, 200).remaining, 400_000);
+    assert!(remaining_time_to_send(400_000, 250_000).valid_for > 100_000, "a slow network has time for it");
 }
 
 #[test]
