--- a/crates/gradeshunt/src/backend/hosts.rs
+++ b/crates/gradeshunt/src/backend/hosts.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use leadmast::permission::HostStanding;
+use leadmast::permission::HostState;
 use leadmast::{Ending, ListKind, MemberId, Micros, Note, Phase, Probed, Report};
 use slog::{debug, info};
 
@@ -63,12 +63,12 @@
     }
 
     /// How it stands for new work.
-    pub(super) fn standing(&self) -> HostStanding {
+    pub(super) fn standing(&self) -> HostState {
         match self.standing {
-            Standing::Gone => HostStanding::Gone,
-            Standing::Draining => HostStanding::Draining,
-            Standing::Open if self.held_out => HostStanding::HeldOut,
-            Standing::Open => HostStanding::Open,
+            Standing::Gone => HostState::Gone,
+            Standing::Draining => HostState::Draining,
+            Standing::Open if self.held_out => HostState::HeldOut,
+            Standing::Open => HostState::Open,
         }
     }
 
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -5,8 +5,7 @@
 
 use leadmast::invariant::Rule;
 use leadmast::permission::{
-    may_begin_at_host, may_write, remaining_time_to_send, AttemptDenial, HostStanding, RemainingTime,
-    WriteFacts,
+    may_begin_at_host, may_write, remaining_time_to_send, AttemptDenial, HostState, RemainingTime, WriteState,
 };
 use leadmast::{Ending, MemberId, Micros, Probed};
 use slog::{debug, info};
@@ -115,13 +114,13 @@
 
     /// Why a job may not begin, or its connection not be used for it.
     pub(super) fn job_denial(&self, now: Micros, member: MemberId, job: &Job) -> Option<AttemptDenial> {
-        let host = self.hosts.get(&member).map_or(HostStanding::Unknown, Host::standing);
+        let host = self.hosts.get(&member).map_or(HostState::Unknown, Host::standing);
         let allowed = match job {
             Job::Attempt { until, write_by, .. } => {
                 let (until, write_by) = (*until, *write_by);
                 may_write(
                     now,
-                    &WriteFacts {
+                    &WriteState {
                         answer_deadline: until,
                         write_by,
                         remaining_valid_until: None,
@@ -143,11 +142,11 @@
         if job.is_written() {
             return None;
         }
-        let host = self.hosts.get(&s.member).map_or(HostStanding::Unknown, Host::standing);
+        let host = self.hosts.get(&s.member).map_or(HostState::Unknown, Host::standing);
         let Sending { told_until, begun, .. } = s.sending;
         may_write(
             now,
-            &WriteFacts {
+            &WriteState {
                 answer_deadline: *until,
                 write_by: *write_by,
                 remaining_valid_until: told_until,
--- a/crates/gradeshunt/src/backend/pool.rs
+++ b/crates/gradeshunt/src/backend/pool.rs
@@ -30,9 +30,9 @@
         let host = self.hosts.get(&s.member)?;
         let Stage::Idle { until, .. } = s.stage else { return None };
         let pooled = PooledConnection {
-            expires: until,
-            quiet: s.is_quiet(),
-            current_address: s.addr == host.addr,
+            expires_at: until,
+            no_unread_input: s.is_quiet(),
+            at_current_address: s.addr == host.addr,
             host: host.standing(),
         };
         may_reuse(now, &pooled).err()
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -106,7 +106,7 @@
         let list = fields.get("instances").ok_or("a list without instances")?;
         let list: Vec<&RawValue> =
             serde_json::from_str(list.get()).map_err(|_| "a list whose instances are no array")?;
-        let versions = ListVersions { asked_after: after, known: self.generation, told: generation };
+        let versions = ListVersions { known_at_call: after, known: self.generation, listed: generation };
         if may_apply_list(versions).is_err() {
             return Ok(News::new(ListKind::Incremental));
         }
--- a/crates/gradeshunt/src/exchange/client_side.rs
+++ b/crates/gradeshunt/src/exchange/client_side.rs
@@ -1,6 +1,6 @@
 //! What the client side tells the exchange: calls, clients that leave or cancel, and how much they have read.
 
-use leadmast::permission::may_take;
+use leadmast::permission::may_accept;
 use leadmast::{Arrival, Effect, Event, RequestId};
 
 use super::messages::{Call, Final, Order, ROOM};
@@ -26,7 +26,7 @@
         self.requests.insert(id, request);
         let refused = Final::Refused { retry_after: self.retry_after(class) };
         // Its wait was over before its turn came: nobody would have the answer of an attempt.
-        if may_take(turn.now, deadline).is_err() {
+        if may_accept(turn.now, deadline).is_err() {
             self.tally.expired_unsent += 1;
             self.figures.expired_unsent += 1;
             self.finish(turn, id, refused, Some(FinalReason::Expired));
--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use gradeshunt_placement::Bucket;
-use leadmast::permission::{PossibleExecution, RequestFacts};
+use leadmast::permission::{PossibleExecution, RequestState};
 use leadmast::{Arrival, ClassId, Effect, Ending, GroupId, MemberId, Micros, TenantId};
 
 use super::messages::{Body, ROOM};
@@ -106,13 +106,13 @@
     }
 
     /// What is known of it where an attempt is considered.
-    pub(super) fn facts(&self) -> RequestFacts {
-        RequestFacts {
+    pub(super) fn facts(&self) -> RequestState {
+        RequestState {
             effect: self.effect,
             deadline: self.deadline,
             answered: self.over,
             client_left: self.left.is_some(),
-            begun: self.sends,
+            attempts_begun: self.sends,
             in_flight: u32::from(self.out.is_some()),
             possible_execution: self
                 .doubt_since
--- a/crates/gradeshunt/src/frontend/closing.rs
+++ b/crates/gradeshunt/src/frontend/closing.rs
@@ -1,7 +1,7 @@
 //! Why clients' connections are closed from here, and whether they may be.
 
 use leadmast::invariant::Rule;
-use leadmast::permission::{ClientFacts, ClientStage};
+use leadmast::permission::{ClientStage, ClientState};
 use slog::debug;
 
 use super::session::{Session, Stage};
@@ -67,7 +67,7 @@
 
 impl Session {
     /// What is known of it when it is to be closed. `may_ask_yet`: its first request may be on its way, and is waited for.
-    pub(super) fn close_facts(&self, may_ask_yet: bool) -> ClientFacts {
+    pub(super) fn close_facts(&self, may_ask_yet: bool) -> ClientState {
         let stage = match self.stage {
             Stage::Startup | Stage::Ready if !self.asked => ClientStage::New,
             Stage::Startup | Stage::Ready => ClientStage::Between,
@@ -75,12 +75,12 @@
             Stage::Closing => ClientStage::Closing,
             Stage::Lingering => ClientStage::Lingering,
         };
-        ClientFacts {
+        ClientState {
             stage,
-            message_begun: !self.inbound.is_empty(),
+            message_partly_read: !self.inbound.is_empty(),
             bytes_unread: !self.polled.is_quiet(),
             answer_unwritten: !self.outbound.is_empty(),
-            may_ask_yet,
+            awaiting_first_request: may_ask_yet,
         }
     }
 }
--- a/crates/gradeshunt/src/frontend/eviction.rs
+++ b/crates/gradeshunt/src/frontend/eviction.rs
@@ -1,6 +1,6 @@
 //! Which clients are closed between requests: to make room, when idle among many, or because the proxy stops.
 
-use leadmast::permission::{may_close, ClientFacts};
+use leadmast::permission::{may_close, ClientState};
 use leadmast::Micros;
 use slog::info;
 
@@ -126,8 +126,8 @@
         idle.sort();
         // A request may stand unread in the socket: it counts as taken. A first message that is not whole is none yet.
         let may_go = |id: &SessionId| {
-            let facts = self.sessions.get(id).map(|s| ClientFacts {
-                message_begun: s.asked && !s.inbound.is_empty(),
+            let facts = self.sessions.get(id).map(|s| ClientState {
+                message_partly_read: s.asked && !s.inbound.is_empty(),
                 answer_unwritten: s.asked && !s.outbound.is_empty(),
                 ..s.close_facts(false)
             });
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 
 use calloop::EventLoop;
-use leadmast::permission::{may_end, ProcessFacts};
+use leadmast::permission::{may_exit, ProcessState};
 use leadmast::Micros;
 use slog::{info, warn, Logger};
 
@@ -227,13 +227,13 @@
 
     /// Whether the program may end: all is answered, or it is time to leave.
     pub fn is_done(&self) -> bool {
-        let process = ProcessFacts {
-            must_leave: self.leave,
+        let process = ProcessState {
+            must_exit: self.leave,
             serving: self.frontend.serves(),
             clients_open: self.frontend.has_clients(),
             requests_open: !self.core.exchange.is_idle(),
         };
-        may_end(&process).is_ok()
+        may_exit(&process).is_ok()
     }
 }
 
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -7,7 +7,7 @@
     fade, Attempt, Balancer, Request, CROWDED, LAG_FADES_IN, NEVER, PROBE_WAIT_PACES, TIMEOUT_FACTORS,
 };
 use crate::interface::{Action, Effect, GroupId, MemberId, Micros, ReadLevel, RequestId, ZoneId};
-use crate::permission::{may_begin, AttemptLimits, PossibleExecution, RequestFacts};
+use crate::permission::{may_begin, AttemptLimits, PossibleExecution, RequestState};
 
 impl Balancer {
     /// Sends the requests that the group holds as far as members have room, in order of worth per work.
@@ -124,13 +124,13 @@
             sent_at: r.copied_from.map_or(first.sent, |at| at.min(first.sent)),
             zone: Some(first.zone),
         });
-        let request = RequestFacts {
+        let request = RequestState {
             effect: self.settings.classes[r.class.0].effect,
             deadline: r.deadline,
             answered: r.answered,
             // When a client leaves, the driver reports it and the request is closed before.
             client_left: false,
-            begun: r.attempts.len() as u32,
+            attempts_begun: r.attempts.len() as u32,
             in_flight: r.out() as u32,
             possible_execution: doubt,
             settled_at: r.settled_at,
--- a/src/permission/attempt.rs
+++ b/src/permission/attempt.rs
@@ -26,7 +26,7 @@
 
 /// The state of a request when another attempt of it is considered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestState {
     /// Whether requests of its class may be executed more than once.
     pub effect: Effect,
     /// When its client stops waiting for an answer.
@@ -36,7 +36,7 @@
     /// Whether its client has closed its connection or cancelled the request.
     pub client_left: bool,
     /// Number of attempts begun so far.
-    pub begun: u32,
+    pub attempts_begun: u32,
     /// Number of attempts that have not ended.
     pub in_flight: u32,
     /// The first attempt that may have executed.
@@ -59,7 +59,7 @@
 
 /// Whether a db host accepts new attempts, and why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostStanding {
+pub enum HostState {
     /// It accepts new attempts.
     Open,
     /// Discovery lists it as draining.
@@ -152,7 +152,7 @@
 /// Returns the first rule that forbids it.
 pub fn may_begin(
     now: Micros,
-    request: &RequestFacts,
+    request: &RequestState,
     limits: &AttemptLimits,
     zone: Option<ZoneId>,
 ) -> Result<(), AttemptDenial> {
@@ -162,7 +162,7 @@
     if request.client_left {
         return Err(AttemptDenial::ClientLeft);
     }
-    if request.begun >= limits.attempts {
+    if request.attempts_begun >= limits.attempts {
         return Err(AttemptDenial::AttemptsUsed);
     }
     if request.in_flight > 0 && !limits.second_copies {
@@ -243,7 +243,7 @@
 
 /// The state of an attempt when bytes of it are about to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WriteFacts {
+pub struct WriteState {
     /// The time until which the driver waits for its answer.
     pub answer_deadline: Micros,
     /// The time from which its last byte must not be written any more: `until`, or earlier if the attempt is
@@ -255,7 +255,7 @@
     /// Whether its first byte has been written.
     pub first_byte_written: bool,
     /// The state of its db host. It matters only before the first byte.
-    pub host: HostStanding,
+    pub host: HostState,
 }
 
 /// Checks whether bytes of an attempt may be written now.
@@ -263,7 +263,7 @@
 /// # Errors
 /// Returns why they may not. Nothing of the attempt has executed then, because its last byte has not been
 /// written.
-pub fn may_write(now: Micros, attempt: &WriteFacts) -> Result<(), AttemptDenial> {
+pub fn may_write(now: Micros, attempt: &WriteState) -> Result<(), AttemptDenial> {
     if now >= attempt.answer_deadline {
         return Err(AttemptDenial::DeadlinePassed);
     }
@@ -283,12 +283,12 @@
 ///
 /// # Errors
 /// Returns why it does not.
-pub fn may_begin_at_host(host: HostStanding) -> Result<(), AttemptDenial> {
+pub fn may_begin_at_host(host: HostState) -> Result<(), AttemptDenial> {
     match host {
-        HostStanding::Open => Ok(()),
-        HostStanding::Draining => Err(AttemptDenial::HostDraining),
-        HostStanding::Gone => Err(AttemptDenial::HostGone),
-        HostStanding::HeldOut => Err(AttemptDenial::HostHeldOut),
-        HostStanding::Unknown => Err(AttemptDenial::HostUnknown),
+        HostState::Open => Ok(()),
+        HostState::Draining => Err(AttemptDenial::HostDraining),
+        HostState::Gone => Err(AttemptDenial::HostGone),
+        HostState::HeldOut => Err(AttemptDenial::HostHeldOut),
+        HostState::Unknown => Err(AttemptDenial::HostUnknown),
     }
 }
--- a/src/permission/connection.rs
+++ b/src/permission/connection.rs
@@ -1,19 +1,19 @@
 //! Rules on connections: whether a pooled one may be reused, and whether a client's connection may be closed.
 
-use super::HostStanding;
+use super::HostState;
 use crate::interface::Micros;
 
 /// An idle connection to a db host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PooledConnection {
     /// The time from which its db host may have dropped it without notice.
-    pub expires: Micros,
+    pub expires_at: Micros,
     /// Whether the connection has neither unread bytes nor been closed by the other side.
-    pub quiet: bool,
+    pub no_unread_input: bool,
     /// Whether it leads to the address under which its db host is listed now.
-    pub current_address: bool,
+    pub at_current_address: bool,
     /// Whether its db host accepts new attempts.
-    pub host: HostStanding,
+    pub host: HostState,
 }
 
 /// Why a pooled connection may not be used again.
@@ -22,7 +22,7 @@
     /// The db host may have dropped it.
     Expired,
     /// Bytes or an end of stream have arrived that belong to no request.
-    NotQuiet,
+    UnreadInput,
     /// The db host has moved to another address.
     Moved,
     /// The db host accepts no new attempts.
@@ -34,7 +34,7 @@
     pub fn name(self) -> &'static str {
         match self {
             ReuseDenial::Expired => "expired",
-            ReuseDenial::NotQuiet => "not_quiet",
+            ReuseDenial::UnreadInput => "not_quiet",
             ReuseDenial::Moved => "moved",
             ReuseDenial::HostClosed => "host_closed",
         }
@@ -46,14 +46,14 @@
 /// # Errors
 /// Returns why it has to be closed instead.
 pub fn may_reuse(now: Micros, connection: &PooledConnection) -> Result<(), ReuseDenial> {
-    if connection.host != HostStanding::Open {
+    if connection.host != HostState::Open {
         Err(ReuseDenial::HostClosed)
-    } else if !connection.current_address {
+    } else if !connection.at_current_address {
         Err(ReuseDenial::Moved)
-    } else if now >= connection.expires {
+    } else if now >= connection.expires_at {
         Err(ReuseDenial::Expired)
-    } else if !connection.quiet {
-        Err(ReuseDenial::NotQuiet)
+    } else if !connection.no_unread_input {
+        Err(ReuseDenial::UnreadInput)
     } else {
         Ok(())
     }
@@ -76,33 +76,33 @@
 
 /// The state of a client's connection that is about to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClientFacts {
+pub struct ClientState {
     /// Its stage.
     pub stage: ClientStage,
     /// Whether part of a message that requires an answer has been read but not processed. When connections
     /// are scarce, a first message that takes too long does not count.
-    pub message_begun: bool,
+    pub message_partly_read: bool,
     /// Whether bytes from the client, or its end of stream, wait unread in the kernel.
     pub bytes_unread: bool,
     /// Whether bytes of an answer have not been written yet.
     pub answer_unwritten: bool,
     /// Whether the first request may still arrive and the client is given time for it.
-    pub may_ask_yet: bool,
+    pub awaiting_first_request: bool,
 }
 
 /// Why the proxy may not close a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseDenial {
     /// A request is being processed.
-    RequestOut,
+    RequestInProgress,
     /// Part of a message has been read.
-    MessageBegun,
+    MessagePartlyRead,
     /// Unread bytes may contain a request.
     BytesUnread,
     /// Part of an answer has not been written.
     AnswerUnwritten,
     /// The first request may be on its way.
-    MayAskYet,
+    AwaitingFirstRequest,
     /// The last message is being written.
     AlreadyClosing,
 }
@@ -112,19 +112,19 @@
 ///
 /// # Errors
 /// Returns why it may not.
-pub fn may_close(client: &ClientFacts) -> Result<(), CloseDenial> {
+pub fn may_close(client: &ClientState) -> Result<(), CloseDenial> {
     match client.stage {
-        ClientStage::Waiting => return Err(CloseDenial::RequestOut),
+        ClientStage::Waiting => return Err(CloseDenial::RequestInProgress),
         ClientStage::Closing => return Err(CloseDenial::AlreadyClosing),
         // Everything has been written; but closing a socket with unread bytes sends a reset, and the client
         // could lose its last answer.
         ClientStage::Lingering if client.bytes_unread => return Err(CloseDenial::BytesUnread),
         ClientStage::Lingering => return Ok(()),
-        ClientStage::New if client.may_ask_yet => return Err(CloseDenial::MayAskYet),
+        ClientStage::New if client.awaiting_first_request => return Err(CloseDenial::AwaitingFirstRequest),
         ClientStage::New | ClientStage::Between => {}
     }
-    if client.message_begun {
-        Err(CloseDenial::MessageBegun)
+    if client.message_partly_read {
+        Err(CloseDenial::MessagePartlyRead)
     } else if client.answer_unwritten {
         Err(CloseDenial::AnswerUnwritten)
     } else if client.bytes_unread {
--- a/src/permission/mod.rs
+++ b/src/permission/mod.rs
@@ -14,12 +14,12 @@
 
 pub use attempt::{
     may_begin, may_begin_at_host, may_repeat, may_write, remaining_time_to_send, repeat_deadline, settled_at,
-    AttemptDenial, AttemptLimits, HostStanding, PossibleExecution, RemainingTime, RequestFacts, WriteFacts,
+    AttemptDenial, AttemptLimits, HostState, PossibleExecution, RemainingTime, RequestState, WriteState,
 };
 pub use connection::{
-    may_close, may_reuse, ClientFacts, ClientStage, CloseDenial, PooledConnection, ReuseDenial,
+    may_close, may_reuse, ClientStage, ClientState, CloseDenial, PooledConnection, ReuseDenial,
 };
 pub use process::{
-    may_apply_list, may_end, may_hand_over, may_take, EndDenial, HandOverDenial, ListDenial, ListVersions,
-    ProcessFacts, TakeDenial,
+    may_accept, may_apply_list, may_exit, may_hand_over, AcceptDenial, ExitDenial, HandOverDenial,
+    ListDenial, ListVersions, ProcessState,
 };
--- a/src/permission/process.rs
+++ b/src/permission/process.rs
@@ -5,7 +5,7 @@
 
 /// Why a request is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum TakeDenial {
+pub enum AcceptDenial {
     /// The client's deadline passed before the request's turn came.
     Expired,
 }
@@ -14,9 +14,9 @@
 ///
 /// # Errors
 /// Returns why it has to be refused at once.
-pub fn may_take(now: Micros, deadline: Micros) -> Result<(), TakeDenial> {
+pub fn may_accept(now: Micros, deadline: Micros) -> Result<(), AcceptDenial> {
     if deadline <= now {
-        Err(TakeDenial::Expired)
+        Err(AcceptDenial::Expired)
     } else {
         Ok(())
     }
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandOverDenial {
     /// This process has not been told to terminate.
-    Staying,
+    NotTerminating,
     /// No other process has been seen to serve since then.
     NoSuccessor,
 }
@@ -37,7 +37,7 @@
 /// Returns why it may not.
 pub fn may_hand_over(terminating: bool, successor_serves: bool) -> Result<(), HandOverDenial> {
     match (terminating, successor_serves) {
-        (false, _) => Err(HandOverDenial::Staying),
+        (false, _) => Err(HandOverDenial::NotTerminating),
         (true, false) => Err(HandOverDenial::NoSuccessor),
         (true, true) => Ok(()),
     }
@@ -45,9 +45,9 @@
 
 /// What can keep a process that was told to terminate from exiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ProcessFacts {
+pub struct ProcessState {
     /// Whether the grace period is over, after which the process would be killed.
-    pub must_leave: bool,
+    pub must_exit: bool,
     /// Whether it accepts clients or has not been told to terminate.
     pub serving: bool,
     /// Whether client connections are open.
@@ -58,7 +58,7 @@
 
 /// Why a process may not exit yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndDenial {
+pub enum ExitDenial {
     /// It accepts clients or has not been told to terminate.
     Serving,
     /// Clients are connected.
@@ -71,15 +71,15 @@
 ///
 /// # Errors
 /// Returns why it may not.
-pub fn may_end(process: &ProcessFacts) -> Result<(), EndDenial> {
-    if process.must_leave {
+pub fn may_exit(process: &ProcessState) -> Result<(), ExitDenial> {
+    if process.must_exit {
         Ok(())
     } else if process.serving {
-        Err(EndDenial::Serving)
+        Err(ExitDenial::Serving)
     } else if process.clients_open {
-        Err(EndDenial::ClientsOpen)
+        Err(ExitDenial::ClientsOpen)
     } else if process.requests_open {
-        Err(EndDenial::RequestsOpen)
+        Err(ExitDenial::RequestsOpen)
     } else {
         Ok(())
     }
@@ -89,11 +89,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListVersions {
     /// The version known when the call was made.
-    pub asked_after: u64,
+    pub known_at_call: u64,
     /// The latest version known now.
     pub known: u64,
     /// The version of this list.
-    pub told: u64,
+    pub listed: u64,
 }
 
 /// Why a list is not applied.
@@ -109,7 +109,7 @@
 /// # Errors
 /// Returns why it may not.
 pub fn may_apply_list(versions: ListVersions) -> Result<(), ListDenial> {
-    if (versions.asked_after..versions.known).contains(&versions.told) {
+    if (versions.known_at_call..versions.known).contains(&versions.listed) {
         Err(ListDenial::Older)
     } else {
         Ok(())
--- a/tests/permission.rs
+++ b/tests/permission.rs
@@ -12,13 +12,13 @@
     Effect::Keyed { scope, window: WINDOW }
 }
 
-fn request(effect: Effect) -> RequestFacts {
-    RequestFacts {
+fn request(effect: Effect) -> RequestState {
+    RequestState {
         effect,
         deadline: DEADLINE,
         answered: false,
         client_left: false,
-        begun: 0,
+        attempts_begun: 0,
         in_flight: 0,
         possible_execution: None,
         settled_at: None,
@@ -35,14 +35,14 @@
 
 #[test]
 fn attempt_begins_only_for_a_client_that_waits_and_within_the_limits() {
-    let begin = |now, request: RequestFacts| may_begin(now, &request, &limits(), None);
+    let begin = |now, request: RequestState| may_begin(now, &request, &limits(), None);
     let fresh = request(Effect::Unsafe);
     assert_eq!(begin(DEADLINE - 1, fresh), Ok(()));
     assert_eq!(begin(DEADLINE, fresh), Err(AttemptDenial::DeadlinePassed));
-    assert_eq!(begin(0, RequestFacts { answered: true, ..fresh }), Err(AttemptDenial::Answered));
-    assert_eq!(begin(0, RequestFacts { client_left: true, ..fresh }), Err(AttemptDenial::ClientLeft));
-    assert_eq!(begin(0, RequestFacts { begun: 3, ..fresh }), Err(AttemptDenial::AttemptsUsed));
-    let out = RequestFacts { begun: 1, in_flight: 1, ..fresh };
+    assert_eq!(begin(0, RequestState { answered: true, ..fresh }), Err(AttemptDenial::Answered));
+    assert_eq!(begin(0, RequestState { client_left: true, ..fresh }), Err(AttemptDenial::ClientLeft));
+    assert_eq!(begin(0, RequestState { attempts_begun: 3, ..fresh }), Err(AttemptDenial::AttemptsUsed));
+    let out = RequestState { attempts_begun: 1, in_flight: 1, ..fresh };
     assert_eq!(begin(0, out), Err(AttemptDenial::AttemptInFlight));
     let copies = AttemptLimits { second_copies: true, ..limits() };
     assert_eq!(may_begin(0, &out, &copies, None), Ok(()));
@@ -70,28 +70,28 @@
 
 #[test]
 fn attempt_is_written_in_its_time_and_begun_only_at_an_open_host() {
-    let facts = WriteFacts {
+    let facts = WriteState {
         answer_deadline: 1_000,
         write_by: 900,
         remaining_valid_until: None,
         first_byte_written: false,
-        host: HostStanding::Open,
+        host: HostState::Open,
     };
     assert_eq!(may_write(899, &facts), Ok(()));
     assert_eq!(may_write(900, &facts), Err(AttemptDenial::WindowOver));
     assert_eq!(may_write(1_000, &facts), Err(AttemptDenial::DeadlinePassed));
-    let told = WriteFacts { remaining_valid_until: Some(500), ..facts };
+    let told = WriteState { remaining_valid_until: Some(500), ..facts };
     assert_eq!(may_write(500, &told), Ok(()));
     assert_eq!(may_write(501, &told), Err(AttemptDenial::RemainingTimeExpired));
     for (host, denial) in [
-        (HostStanding::Draining, AttemptDenial::HostDraining),
-        (HostStanding::Gone, AttemptDenial::HostGone),
-        (HostStanding::HeldOut, AttemptDenial::HostHeldOut),
-        (HostStanding::Unknown, AttemptDenial::HostUnknown),
+        (HostState::Draining, AttemptDenial::HostDraining),
+        (HostState::Gone, AttemptDenial::HostGone),
+        (HostState::HeldOut, AttemptDenial::HostHeldOut),
+        (HostState::Unknown, AttemptDenial::HostUnknown),
     ] {
-        assert_eq!(may_write(0, &WriteFacts { host, ..facts }), Err(denial));
+        assert_eq!(may_write(0, &WriteState { host, ..facts }), Err(denial));
         assert_eq!(
-            may_write(0, &WriteFacts { host, first_byte_written: true, ..facts }),
+            may_write(0, &WriteState { host, first_byte_written: true, ..facts }),
             Ok(()),
             "it is finished there"
         );
@@ -116,53 +116,68 @@
 
 #[test]
 fn pooled_connection_is_used_while_its_host_keeps_it() {
-    let pooled =
-        PooledConnection { expires: 100, quiet: true, current_address: true, host: HostStanding::Open };
+    let pooled = PooledConnection {
+        expires_at: 100,
+        no_unread_input: true,
+        at_current_address: true,
+        host: HostState::Open,
+    };
     assert_eq!(may_reuse(99, &pooled), Ok(()));
     assert_eq!(may_reuse(100, &pooled), Err(ReuseDenial::Expired));
-    assert_eq!(may_reuse(0, &PooledConnection { quiet: false, ..pooled }), Err(ReuseDenial::NotQuiet));
-    assert_eq!(may_reuse(0, &PooledConnection { current_address: false, ..pooled }), Err(ReuseDenial::Moved));
-    let held_out = PooledConnection { host: HostStanding::HeldOut, ..pooled };
+    assert_eq!(
+        may_reuse(0, &PooledConnection { no_unread_input: false, ..pooled }),
+        Err(ReuseDenial::UnreadInput)
+    );
+    assert_eq!(
+        may_reuse(0, &PooledConnection { at_current_address: false, ..pooled }),
+        Err(ReuseDenial::Moved)
+    );
+    let held_out = PooledConnection { host: HostState::HeldOut, ..pooled };
     assert_eq!(may_reuse(0, &held_out), Err(ReuseDenial::HostClosed));
 }
 
 #[test]
 fn client_is_closed_only_between_requests() {
-    let between = ClientFacts {
+    let between = ClientState {
         stage: ClientStage::Between,
-        message_begun: false,
+        message_partly_read: false,
         bytes_unread: false,
         answer_unwritten: false,
-        may_ask_yet: false,
+        awaiting_first_request: false,
     };
     assert_eq!(may_close(&between), Ok(()));
     let denied = [
-        (ClientFacts { stage: ClientStage::Waiting, ..between }, CloseDenial::RequestOut),
-        (ClientFacts { stage: ClientStage::Closing, ..between }, CloseDenial::AlreadyClosing),
-        (ClientFacts { stage: ClientStage::New, may_ask_yet: true, ..between }, CloseDenial::MayAskYet),
-        (ClientFacts { message_begun: true, ..between }, CloseDenial::MessageBegun),
-        (ClientFacts { bytes_unread: true, ..between }, CloseDenial::BytesUnread),
-        (ClientFacts { answer_unwritten: true, ..between }, CloseDenial::AnswerUnwritten),
+        (ClientState { stage: ClientStage::Waiting, ..between }, CloseDenial::RequestInProgress),
+        (ClientState { stage: ClientStage::Closing, ..between }, CloseDenial::AlreadyClosing),
+        (
+            ClientState { stage: ClientStage::New, awaiting_first_request: true, ..between },
+            CloseDenial::AwaitingFirstRequest,
+        ),
+        (ClientState { message_partly_read: true, ..between }, CloseDenial::MessagePartlyRead),
+        (ClientState { bytes_unread: true, ..between }, CloseDenial::BytesUnread),
+        (ClientState { answer_unwritten: true, ..between }, CloseDenial::AnswerUnwritten),
     ];
     denied.into_iter().for_each(|(facts, denial)| assert_eq!(may_close(&facts), Err(denial)));
-    let lingering = ClientFacts { stage: ClientStage::Lingering, ..between };
+    let lingering = ClientState { stage: ClientStage::Lingering, ..between };
     assert_eq!(may_close(&lingering), Ok(()));
-    assert_eq!(may_close(&ClientFacts { bytes_unread: true, ..lingering }), Err(CloseDenial::BytesUnread));
+    assert_eq!(may_close(&ClientState { bytes_unread: true, ..lingering }), Err(CloseDenial::BytesUnread));
 }
 
 #[test]
 fn process_takes_hands_over_ends_and_believes_lists_by_rule() {
-    assert_eq!((may_take(9, 10), may_take(10, 10)), (Ok(()), Err(TakeDenial::Expired)));
+    assert_eq!((may_accept(9, 10), may_accept(10, 10)), (Ok(()), Err(AcceptDenial::Expired)));
     assert_eq!(may_hand_over(true, true), Ok(()));
     assert_eq!(may_hand_over(true, false), Err(HandOverDenial::NoSuccessor));
-    assert_eq!(may_hand_over(false, true), Err(HandOverDenial::Staying));
-    let idle = ProcessFacts { must_leave: false, serving: false, clients_open: false, requests_open: false };
-    assert_eq!(may_end(&idle), Ok(()));
-    assert_eq!(may_end(&ProcessFacts { serving: true, ..idle }), Err(EndDenial::Serving));
-    assert_eq!(may_end(&ProcessFacts { clients_open: true, ..idle }), Err(EndDenial::ClientsOpen));
-    assert_eq!(may_end(&ProcessFacts { requests_open: true, ..idle }), Err(EndDenial::RequestsOpen));
-    assert_eq!(may_end(&ProcessFacts { requests_open: true, must_leave: true, ..idle }), Ok(()));
-    let list = |asked_after, known, told| may_apply_list(ListVersions { asked_after, known, told });
+    assert_eq!(may_hand_over(false, true), Err(HandOverDenial::NotTerminating));
+    let idle = ProcessState { must_exit: false, serving: false, clients_open: false, requests_open: false };
+    assert_eq!(may_exit(&idle), Ok(()));
+    assert_eq!(may_exit(&ProcessState { serving: true, ..idle }), Err(ExitDenial::Serving));
+    assert_eq!(may_exit(&ProcessState { clients_open: true, ..idle }), Err(ExitDenial::ClientsOpen));
+    assert_eq!(may_exit(&ProcessState { requests_open: true, ..idle }), Err(ExitDenial::RequestsOpen));
+    assert_eq!(may_exit(&ProcessState { requests_open: true, must_exit: true, ..idle }), Ok(()));
+    let list = |asked_after, known, told| {
+        may_apply_list(ListVersions { known_at_call: asked_after, known, listed: told })
+    };
     assert_eq!(list(3, 3, 3), Ok(()));
     assert_eq!(list(3, 5, 4), Err(ListDenial::Older));
     assert_eq!(list(3, 5, 2), Ok(()), "discovery counts anew");
