--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -41,7 +41,7 @@
     pub fn new(settings: &Settings) -> Self {
         // A drain that comes while no watch stands must be heard well within what it grants.
         let pushed = (!settings.list_on_request).then_some((settings.rules.drain_grace / 4).max(1_000));
-        let turn = (f64::from(settings.me) + 0.5) / f64::from(settings.fleet.max(1));
+        let turn = (f64::from(settings.driver_index) + 0.5) / f64::from(settings.fleet_size.max(1));
         Pace { pushed, turn }
     }
 }
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -59,7 +59,7 @@
     fn serve_here(&mut self, turn: &mut Turn, arrival: Arrival) {
         let id = arrival.request;
         self.tell(turn, Event::Request(arrival));
-        let beyond = self.balancer.is_beyond(id);
+        let beyond = self.balancer.exceeds_share(id);
         self.requests.get_mut(&id).into_iter().for_each(|r| r.beyond = beyond);
     }
 
--- a/crates/gradeshunt/src/exchange/summary.rs
+++ b/crates/gradeshunt/src/exchange/summary.rs
@@ -9,16 +9,21 @@
 impl Exchange {
     /// The figures as they stand.
     pub fn figures(&self) -> Figures {
-        let t = self.balancer.targets();
+        let t = self.balancer.member_counts();
         let concurrent = self.requests.values().filter(|r| !r.over).count() as u64;
-        Figures { concurrent, targets: t.listed as u64, avoided: t.avoided as u64, ..self.figures.clone() }
+        Figures {
+            concurrent,
+            targets: t.listed as u64,
+            avoided: t.unavailable as u64,
+            ..self.figures.clone()
+        }
     }
 
     /// Sums up in the log what has come to pass since the last time.
     pub fn sum_up(&mut self, turn: &Turn) {
         let t = std::mem::take(&mut self.tally);
         let endings: Vec<_> = t.endings.iter().map(|(name, n)| format!("{name}={n}")).collect();
-        info!(turn.log, "summary"; "open" => self.requests.len(), "members" => self.balancer.targets().known,
+        info!(turn.log, "summary"; "open" => self.requests.len(), "members" => self.balancer.member_counts().known,
             "requests" => t.requests,
             "served" => t.finals.served, "refused" => t.finals.refused, "failed" => t.finals.failed,
             "gone" => t.gone,
--- a/crates/gradeshunt/src/placing.rs
+++ b/crates/gradeshunt/src/placing.rs
@@ -220,11 +220,11 @@
     pub fn divide_budgets(mut self, settings: &mut Settings) -> Placing {
         self.divisor_in_force = Some(self.divisor());
         let divisor = u32::try_from(self.divisor()).unwrap_or(u32::MAX);
-        let ratio = f64::from(divisor) / f64::from(settings.fleet);
+        let ratio = f64::from(divisor) / f64::from(settings.fleet_size);
         for tenant in &mut settings.tenants {
             tenant.rate *= ratio;
         }
-        settings.fleet = divisor;
+        settings.fleet_size = divisor;
         self
     }
 
--- a/crates/gradeshunt/src/placing/tests.rs
+++ b/crates/gradeshunt/src/placing/tests.rs
@@ -68,12 +68,12 @@
     let config = std::fs::read_to_string("../../examples/shared.json").expect("the example");
     let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
     let mut settings = leadmast::settings::read(&config["settings"]).expect("settings").settings;
-    settings.fleet = 3_400;
-    let before: Vec<f64> = settings.tenants.iter().map(|t| t.rate / f64::from(settings.fleet)).collect();
+    settings.fleet_size = 3_400;
+    let before: Vec<f64> = settings.tenants.iter().map(|t| t.rate / f64::from(settings.fleet_size)).collect();
     let placing = placing("a").divide_budgets(&mut settings);
     // One group, two versions of the roster with two homes each, and a slot for those that go direct.
-    assert_eq!(settings.fleet, 5);
-    let after: Vec<f64> = settings.tenants.iter().map(|t| t.rate / f64::from(settings.fleet)).collect();
+    assert_eq!(settings.fleet_size, 5);
+    let after: Vec<f64> = settings.tenants.iter().map(|t| t.rate / f64::from(settings.fleet_size)).collect();
     assert!(!before.is_empty() && before.iter().zip(&after).all(|(a, b)| (a - b).abs() < 1e-9 * a));
     assert!(!placing.needs_restart());
 }
--- a/crates/gradeshunt/src/site_loss.rs
+++ b/crates/gradeshunt/src/site_loss.rs
@@ -25,5 +25,5 @@
 /// When one that is beyond the plan may come back.
 pub fn back(settings: &Settings, class: &Class) -> Option<Micros> {
     let allowed = &settings.allowed;
-    allowed.retry_after.then(|| (class.aim / BACK).min(allowed.max_retry_after))
+    allowed.retry_after.then(|| (class.latency_target / BACK).min(allowed.max_retry_after))
 }
--- a/crates/sites/src/proxy.rs
+++ b/crates/sites/src/proxy.rs
@@ -69,17 +69,18 @@
         let of_site =
             |s: usize| layout.sets.iter().flat_map(|set| set.at(SiteId(s))).map(|m| m.hosts as usize).sum();
         let largest: usize = (0..layout.sites.len()).map(of_site).max().unwrap_or(0);
-        let (share, cold) = (settings.rules.cold_share, settings.rules.cold);
+        let (share, cold) = (settings.rules.initial_capacity_share, settings.rules.warm_up_time);
         // Sites may grow before the file is told of it.
-        let steps = (0..=largest * 4)
-            .map(|hosts| (hosts, watch::steps(hosts, settings.fleet, share, cold, pace.step, pace.connects)));
+        let steps = (0..=largest * 4).map(|hosts| {
+            (hosts, watch::steps(hosts, settings.fleet_size, share, cold, pace.step, pace.connects))
+        });
         let terms = Terms {
             lost_after: pace.lost_after,
             probe_every: pace.probe_every,
             hold: pace.hold,
             hold_most: pace.hold_most,
             flap_memory: pace.flap_memory,
-            me: settings.me,
+            me: settings.driver_index,
             steps: steps.collect(),
         };
         let sets = layout.sets.iter().zip(0..).map(|(s, n)| (GroupId(s.cluster), n)).collect();
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -107,12 +107,12 @@
 }
 
 fn shortest_aim(settings: &Settings) -> Micros {
-    settings.classes.iter().map(|c| c.aim).min().unwrap_or(0)
+    settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(0)
 }
 
 /// How long to hold a read of a class that earns little after its latency target.
 fn brief_hold(class: &Class) -> Micros {
-    (class.aim as f64 * BRIEF_HOLD_SHARE) as Micros
+    (class.latency_target as f64 * BRIEF_HOLD_SHARE) as Micros
 }
 
 /// A group according to the member list and to the members themselves, with the requests that wait for a
@@ -254,13 +254,13 @@
             requests: BTreeMap::new(),
             due: BTreeSet::new(),
             dispatch_due: BTreeSet::new(),
-            work: settings.classes.iter().map(|c| (c.aim as f64 / 4.0).max(1.0)).collect(),
+            work: settings.classes.iter().map(|c| (c.latency_target as f64 / 4.0).max(1.0)).collect(),
             waits: settings.classes.iter().map(|c| c.deadline as f64).collect(),
             tail: (TIMEOUT_FACTORS.0 + TIMEOUT_FACTORS.1) / 2.0,
             retries: MAX_RETRY_TOKENS,
             probes: MAX_PROBE_TOKENS,
             ask_at: settings.list_on_request.then_some(now),
-            list_calls: ListCalls::new(now, settings.fleet),
+            list_calls: ListCalls::new(now, settings.fleet_size),
             watched: BTreeSet::new(),
             holding: BTreeSet::new(),
             pace: (shortest_aim(&settings) / PACES_PER_AIM).clamp(1_000, 10_000),
@@ -280,14 +280,14 @@
     }
 
     /// Counts the known members, the listed ones and those that get no new attempts.
-    pub fn targets(&self) -> Targets {
+    pub fn member_counts(&self) -> MemberCounts {
         let listed = self.members.values().filter(|m| m.entry.phase != Phase::Removed);
         let avoided = listed.clone().filter(|m| !m.usable()).count();
-        Targets { known: self.members.len(), listed: listed.count(), avoided }
+        MemberCounts { known: self.members.len(), listed: listed.count(), unavailable: avoided }
     }
 
     /// Whether an open request exceeds its tenant's share.
-    pub fn is_beyond(&self, id: RequestId) -> bool {
+    pub fn exceeds_share(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|r| r.share.is_none()) && !self.shares.is_empty()
     }
 
@@ -354,9 +354,9 @@
         let began = if repeat { now - (*usual - wait).clamp(0.0, c.deadline as f64) as Micros } else { now };
         let write = c.read == ReadLevel::Write;
         let bucket = key.map(|k| (mix(k ^ mix(group.0)) % BUCKETS) as usize);
-        let need = match self.settings.tokens {
-            Tokens::Carried => since_write.map(|ago| now - ago + POSITION_UNIT),
-            Tokens::Remembered => bucket.map(|b| self.buckets[b].position),
+        let need = match self.settings.session_tracking {
+            SessionTracking::ByRequest => since_write.map(|ago| now - ago + POSITION_UNIT),
+            SessionTracking::ByDriver => bucket.map(|b| self.buckets[b].position),
         };
         let share = self.take_share(now, arrival.tenant);
         self.sequence += 1;
@@ -364,7 +364,7 @@
         let r = Request { class, group, bucket, arrived: now, began, deadline, need, ..Request::default() };
         let r = Request { checked, share, sequence, ..r };
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_TOKENS);
-        let per_request = (PROBE_POINTS / self.settings.prices.probe.max(PROBE_POINTS)).min(0.5);
+        let per_request = (PROBE_POINTS / self.settings.penalties.probe.max(PROBE_POINTS)).min(0.5);
         self.probes = (self.probes + per_request).min(MAX_PROBE_TOKENS);
         self.due.insert((deadline, id));
         self.merit += 0.05 * (self.merit(now, &r) - self.merit);
@@ -381,7 +381,7 @@
     /// charged, or `None` if the share is used up.
     fn take_share(&mut self, now: Micros, tenant: Option<TenantId>) -> Option<(usize, Micros)> {
         let t = tenant?.0;
-        let rate = self.settings.tenants.get(t)?.rate.max(1e-6) / f64::from(self.settings.fleet);
+        let rate = self.settings.tenants.get(t)?.rate.max(1e-6) / f64::from(self.settings.fleet_size);
         let (next, gap) = (self.shares.get_mut(t).filter(|next| **next <= now)?, (1e6 / rate) as Micros);
         *next = (*next).max(now - TENANT_BURST) + gap;
         Some((t, gap))
--- a/src/balance/candidates.rs
+++ b/src/balance/candidates.rs
@@ -60,14 +60,14 @@
             // While no primary is known, a write tries replicas until its deadline: a member that is not the
             // primary rejects it at no cost, and the rejection tells the member's role.
             None if primary.is_none() && c.read == ReadLevel::Write => {
-                let gap = c.deadline / i64::from(self.settings.allowed.attempts.max(1));
+                let gap = c.deadline / i64::from(self.settings.allowed.max_attempts.max(1));
                 self.replicas(r.group, |m| m.role.is_none_or(|(_, at)| now - at > gap))
             }
             None => Vec::new(),
         };
         // Where members check reads themselves, a replica that lags slightly is tried, or else one that may
         // have caught up by now: a rejected attempt costs little.
-        let slack = self.settings.behind.slack().filter(|_| r.checked);
+        let slack = self.settings.lag_policy.tolerated_lag().filter(|_| r.checked);
         for past in [FOREVER, LAG_FADES_IN] {
             if let (true, Some(need), Some(slack)) = (found.is_empty(), self.need(now, r), slack) {
                 found = self.replicas(r.group, |m| m.outlook(now, past) + slack >= need);
--- a/src/balance/concurrency.rs
+++ b/src/balance/concurrency.rs
@@ -12,8 +12,8 @@
     pub(super) fn share(&self, now: Micros, m: &Member) -> f64 {
         let rules = &self.settings.rules;
         let Some(since) = m.entry.since else { return 1.0 };
-        let warm = (now - since) as f64 / rules.cold.max(1) as f64;
-        rules.cold_share + (1.0 - rules.cold_share) * warm.clamp(0.0, 1.0)
+        let warm = (now - since) as f64 / rules.warm_up_time.max(1) as f64;
+        rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * warm.clamp(0.0, 1.0)
     }
 
     /// The number of attempts that a member may hold on average. A cold member's limit is derived from its
@@ -23,7 +23,7 @@
         if share >= 1.0 {
             return m.window;
         }
-        let (proven, most) = (Some(m.heard) > m.entry.since, self.settings.rules.fall_multiple);
+        let (proven, most) = (Some(m.heard) > m.entry.since, self.settings.rules.overload_multiple);
         let least = if proven && m.strain <= CROWDED { most } else { 0.0 };
         let spare = (most / 2.0 * (1.0 + WARMUP_GROWTH * share * share)).max(least);
         m.window.min(share * m.weight() * self.borne(now) * spare).max(1e-6)
@@ -55,7 +55,7 @@
     /// Whether primaries in general are overloaded. In a large fleet a driver gets too few answers from a
     /// single primary to notice its overload in time.
     pub(super) fn crowded(&self, now: Micros) -> bool {
-        f64::from(self.settings.fleet) > INITIAL_WINDOW && fade(self.crowd, now) > CROWDED
+        f64::from(self.settings.fleet_size) > INITIAL_WINDOW && fade(self.crowd, now) > CROWDED
     }
 
     /// Whether a primary has more room than the requests that only it can serve are likely to need.
@@ -70,7 +70,7 @@
     /// work; a warm member's bounds the attempts it holds, estimated by its latest answer times.
     pub(super) fn gap(&self, now: Micros, class: ClassId, m: &Member) -> f64 {
         let strain = if self.share(now, m) < 1.0 { 0.0 } else { fade((m.strain, m.heard), now) };
-        let takes = strain * self.settings.classes[class.0].aim as f64;
+        let takes = strain * self.settings.classes[class.0].latency_target as f64;
         (self.work[class.0].max(takes) / self.concurrency_limit(now, m)).min(DECAY_US)
     }
 }
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -112,7 +112,7 @@
     pub(super) fn merit(&self, now: Micros, r: &Request) -> f64 {
         // Lateness is estimated by the work alone: a queue at the primary must not make its writes look late.
         let c = &self.settings.classes[r.class.0];
-        let late = now + self.work[r.class.0] as Micros > r.began + c.aim;
+        let late = now + self.work[r.class.0] as Micros > r.began + c.latency_target;
         let share = r.share.map_or(self.settings.over_share_worth, |_| 1.0);
         c.worth * share * if late { c.late_worth } else { 1.0 } / self.work[r.class.0]
     }
@@ -136,7 +136,7 @@
             settled_at: r.settled_at,
         };
         let limits = AttemptLimits {
-            attempts: allowed.attempts,
+            attempts: allowed.max_attempts,
             second_copies: allowed.second_copies,
             margin: self.settings.tick,
         };
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -23,7 +23,7 @@
         }
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             let listed: BTreeSet<_> = entries.iter().map(|e| e.member).collect();
-            let stay = self.settings.rules.dropped_stay_open;
+            let stay = self.settings.rules.delisted_stay_open;
             for (_, m) in self.members.iter_mut().filter(|(id, _)| !stay && !listed.contains(id)) {
                 (m.barred, m.entry.phase) = (true, Phase::Removed);
             }
@@ -69,8 +69,8 @@
         let g = self.groups.entry(group).or_default();
         g.members.insert(id);
         let fresh = Entry { since: None, ..entry.clone() };
-        let m = self.members.entry(id).or_insert_with(|| Member::new(fresh, self.settings.fleet));
-        let binds = m.barred || !self.settings.rules.dropped_stay_open;
+        let m = self.members.entry(id).or_insert_with(|| Member::new(fresh, self.settings.fleet_size));
+        let binds = m.barred || !self.settings.rules.delisted_stay_open;
         m.barred = entry.phase == Phase::Draining || entry.phase == Phase::Removed && binds;
         let started = entry.since > m.entry.since;
         m.entry = Entry { since: entry.since.max(m.entry.since), ..entry };
--- a/src/balance/outcome.rs
+++ b/src/balance/outcome.rs
@@ -12,8 +12,8 @@
     /// Updates the member's failure rate, answer times and concurrency window from the result of an attempt.
     pub(super) fn update_health(&mut self, now: Micros, outcome: &Outcome, class: ClassId) {
         let Outcome { member: id, ending, elapsed, .. } = *outcome;
-        let (borne, fleet) = (self.borne(now), f64::from(self.settings.fleet.max(1)));
-        let share = elapsed as f64 / (self.settings.classes[class.0].aim as f64).max(1.0);
+        let (borne, fleet) = (self.borne(now), f64::from(self.settings.fleet_size.max(1)));
+        let share = elapsed as f64 / (self.settings.classes[class.0].latency_target as f64).max(1.0);
         let Some(m) = self.members.get_mut(&id) else { return };
         // If the client waited only briefly, a timeout says little about the member.
         let late = matches!(ending, Ending::Timeout | Ending::Cancelled) && share > 2.0 * CROWDED;
--- a/src/balance/periodic.rs
+++ b/src/balance/periodic.rs
@@ -53,13 +53,13 @@
         for g in self.holding.iter().filter_map(|g| self.groups.get(g)) {
             for (id, r) in g.held.iter().filter_map(|id| self.requests.get(id).map(|r| (id, r))) {
                 let c = &self.settings.classes[r.class.0];
-                let best = ((self.work[r.class.0] / 2.0) as Micros).min(c.aim / 2);
+                let best = ((self.work[r.class.0] / 2.0) as Micros).min(c.latency_target / 2);
                 // If a late answer earns little, refuse early enough that a retry has time.
                 let hold = r.arrived + brief_hold(c);
                 // Otherwise a request without any attempt is not held for most of its time.
                 let vain = r.arrived + ((r.deadline - r.arrived) as f64 * FIRST_ATTEMPT_HOLD_SHARE) as Micros;
                 let patient = if r.attempts.is_empty() { vain } else { r.deadline };
-                let useful = r.deadline.min(hold + best).min(r.began + c.aim);
+                let useful = r.deadline.min(hold + best).min(r.began + c.latency_target);
                 let end = if c.late_worth > LOW_WORTH { patient } else { useful };
                 if r.out() == 0 && r.is_settled(now) && now + best + self.pace > end {
                     lost.push(*id);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -79,7 +79,7 @@
 
 impl ReadLevel {
     /// The maximum age of the data for a class with bounded staleness; `None` for other classes.
-    pub fn bound(self) -> Option<Micros> {
+    pub fn max_staleness(self) -> Option<Micros> {
         match self {
             ReadLevel::Bounded(bound) => Some(bound),
             ReadLevel::Write | ReadLevel::Fresh | ReadLevel::Session | ReadLevel::Any => None,
@@ -89,23 +89,23 @@
 
 /// What a member does with a read that needs a later position than the member has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behind {
+pub enum LagPolicy {
     /// Answers from the data that it has.
-    Silent,
+    AnswerStale,
     /// Rejects the read without executing it.
-    Refuse,
+    Reject,
     /// Waits up to this long for replication to catch up, then rejects the read without executing it.
-    Wait(Micros),
+    WaitThenReject(Micros),
 }
 
-impl Behind {
+impl LagPolicy {
     /// How far a member may lag behind a read's needed position and still be worth trying; `None` if a
     /// lagging member would answer with old data instead of rejecting the read.
-    pub fn slack(self) -> Option<Micros> {
+    pub fn tolerated_lag(self) -> Option<Micros> {
         match self {
-            Behind::Silent => None,
-            Behind::Refuse => Some(0),
-            Behind::Wait(t) => Some(t),
+            LagPolicy::AnswerStale => None,
+            LagPolicy::Reject => Some(0),
+            LagPolicy::WaitThenReject(t) => Some(t),
         }
     }
 }
@@ -114,28 +114,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedRole {
     /// They follow role changes with a delay of a few seconds.
-    Late,
+    Delayed,
     /// They are those of the start of the deployment and never change.
-    Start,
+    Initial,
     /// The list has no roles.
     Unlisted,
 }
 
 /// How the balancer learns what a session has written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tokens {
+pub enum SessionTracking {
     /// Each read carries the time since its session's last commit.
-    Carried,
+    ByRequest,
     /// The balancer records the writes whose answers this driver has received; a read must see those of its
     /// session.
-    Remembered,
+    ByDriver,
 }
 
 /// A request class: a service level objective, a deadline and consistency requirements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// How long a client waits for an answer in total.
     pub deadline: Micros,
     /// Worth of one request that is answered in time.
@@ -154,28 +154,28 @@
     /// A final answer counts until this long after the client's deadline.
     pub answer_slack: Micros,
     /// Lower bound on the fraction of its capacity that a member has when it has just started.
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// Upper bound on the time until a started member reaches its full capacity.
-    pub cold: Micros,
+    pub warm_up_time: Micros,
     /// How long after the driver learns that a member is draining or gone new attempts may still go to it.
     pub drain_grace: Micros,
     /// A cold member collapses if it gets this multiple of its current capacity
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this long.
-    pub fall: Micros,
+    pub overload_time: Micros,
     /// A driver that has not asked for the member list for this long is treated as if it knew the current
     /// list.
-    pub must_ask_in: Micros,
+    pub max_list_age: Micros,
     /// Only members that were listed as draining are closed to new attempts; members that vanish from the
     /// list are not.
-    pub dropped_stay_open: bool,
+    pub delisted_stay_open: bool,
 }
 
 /// What the driver is permitted to do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Allowed {
     /// Maximum number of attempts of one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at the same time.
     pub second_copies: bool,
     /// Whether probes are permitted.
@@ -192,7 +192,7 @@
 
 /// Penalties in points, relative to the number of first tries.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Prices {
+pub struct Penalties {
     /// A probe.
     pub probe: f64,
     /// An attempt that goes to another zone than the driver's.
@@ -216,9 +216,9 @@
     /// The driver's own zone.
     pub zone: ZoneId,
     /// Number of drivers in the deployment.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// Index of this driver, from 0.
-    pub me: u32,
+    pub driver_index: u32,
     /// Shortest time between two events that the driver delivers.
     pub tick: Micros,
     /// Whether the member list has to be requested; otherwise it is pushed.
@@ -226,17 +226,17 @@
     /// How reliable the roles in the member list are.
     pub listed_role: ListedRole,
     /// How the balancer learns what a session has written.
-    pub tokens: Tokens,
+    pub session_tracking: SessionTracking,
     /// What members do with reads for which they lag too far.
-    pub behind: Behind,
+    pub lag_policy: LagPolicy,
     /// Whether answers carry the member's position.
-    pub positions: bool,
+    pub answers_carry_positions: bool,
     /// Parameters of the rules and of members.
     pub rules: Rules,
     /// What the driver is permitted to do.
     pub allowed: Allowed,
     /// Penalties.
-    pub prices: Prices,
+    pub penalties: Penalties,
     /// Tenants; empty if the deployment has only one user.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a fraction of its class's worth.
@@ -294,14 +294,14 @@
 
 /// Counts of the members that a balancer knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Targets {
+pub struct MemberCounts {
     /// All known members, including removed ones with attempts in flight.
     pub known: usize,
     /// Members on the list.
     pub listed: usize,
     /// Listed members that get no new attempts: they are draining, held out by an operator, or suspected to
     /// have failed.
-    pub avoided: usize,
+    pub unavailable: usize,
 }
 
 /// How an attempt or a probe ended.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,21 +8,23 @@
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
-//!         aim: 100_000, deadline: 1_000_000, worth: 1.0, late_worth: 0.0,
+//!         latency_target: 100_000, deadline: 1_000_000, worth: 1.0, late_worth: 0.0,
 //!         effect: Effect::Safe, read: ReadLevel::Any,
 //!     }],
-//!     zone: ZoneId(0), fleet: 1, me: 0, tick: 1_000,
+//!     zone: ZoneId(0), fleet_size: 1, driver_index: 0, tick: 1_000,
 //!     list_on_request: false,
-//!     listed_role: ListedRole::Late, tokens: Tokens::Carried, behind: Behind::Silent, positions: true,
+//!     listed_role: ListedRole::Delayed, session_tracking: SessionTracking::ByRequest,
+//!     lag_policy: LagPolicy::AnswerStale, answers_carry_positions: true,
 //!     rules: Rules {
-//!         answer_slack: 20_000, cold_share: 0.2, cold: 10_000_000, drain_grace: 500_000,
-//!         fall_multiple: 2.5, fall: 1_500_000, must_ask_in: 10_000_000, dropped_stay_open: false,
+//!         answer_slack: 20_000, initial_capacity_share: 0.2, warm_up_time: 10_000_000, drain_grace: 500_000,
+//!         overload_multiple: 2.5, overload_time: 1_500_000, max_list_age: 10_000_000,
+//!         delisted_stay_open: false,
 //!     },
 //!     allowed: Allowed {
-//!         attempts: 4, second_copies: true, probes: true, cancel: true, peers: false,
+//!         max_attempts: 4, second_copies: true, probes: true, cancel: true, peers: false,
 //!         retry_after: true, max_retry_after: 500_000,
 //!     },
-//!     prices: Prices { probe: 0.02, cross_zone: 0.0, waste: 0.05 },
+//!     penalties: Penalties { probe: 0.02, cross_zone: 0.0, waste: 0.05 },
 //!     tenants: Vec::new(),
 //!     over_share_worth: 1.0,
 //! };
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -155,19 +155,19 @@
         return Err("facts.categories is empty: at least one class is required".into());
     }
     let tenants = tenants(&facts, &mut names.tenants)?;
-    let (fleet, me) = (facts.count("fleetSize")?, facts.count("me")?);
+    let (fleet_size, driver_index) = (facts.count("fleetSize")?, facts.count("me")?);
     // Limits for the whole fleet are divided by its size.
-    if fleet == 0 {
+    if fleet_size == 0 {
         return Err("facts.fleetSize is 0, but must be 1 or more".into());
     }
-    if me >= fleet {
-        return Err(format!("facts.me is {me}, but must be below facts.fleetSize ({fleet})"));
+    if driver_index >= fleet_size {
+        return Err(format!("facts.me is {driver_index}, but must be below facts.fleetSize ({fleet_size})"));
     }
     let settings = Settings {
         classes: classes(&facts, &family)?,
         zone: names.zone(facts.text("zone")?)?,
-        fleet,
-        me,
+        fleet_size,
+        driver_index,
         tick: facts.span("tick")?,
         list_on_request: facts.word("membershipMode", |w| match w {
             "on_request" => Some(true),
@@ -175,21 +175,21 @@
             _ => None,
         })?,
         listed_role: family.word("roleListed", |w| match w {
-            "trailing" => Some(ListedRole::Late),
-            "static" => Some(ListedRole::Start),
+            "trailing" => Some(ListedRole::Delayed),
+            "static" => Some(ListedRole::Initial),
             "silent" => Some(ListedRole::Unlisted),
             _ => None,
         })?,
-        tokens: family.word("sessionMarks", |w| match w {
-            "brought" => Some(Tokens::Carried),
-            "kept" => Some(Tokens::Remembered),
+        session_tracking: family.word("sessionMarks", |w| match w {
+            "brought" => Some(SessionTracking::ByRequest),
+            "kept" => Some(SessionTracking::ByDriver),
             _ => None,
         })?,
-        behind: behind(&family)?,
-        positions: family.flag("positions")?,
+        lag_policy: lag_policy(&family)?,
+        answers_carry_positions: family.flag("positions")?,
         rules: rules(&facts)?,
         allowed: allowed(&facts)?,
-        prices: prices(&facts)?,
+        penalties: penalties(&facts)?,
         tenants,
         // Not needed without tenants.
         over_share_worth: if names.tenants.is_empty() { 1.0 } else { facts.amount("overShareWorth")? },
@@ -226,11 +226,11 @@
     })
 }
 
-fn behind(family: &Keys) -> Result<Behind> {
+fn lag_policy(family: &Keys) -> Result<LagPolicy> {
     Ok(match family.text("whenBehind")? {
-        "silent" => Behind::Silent,
-        "bounce" => Behind::Refuse,
-        "await" => Behind::Wait(family.span("catchUpWait")?),
+        "silent" => LagPolicy::AnswerStale,
+        "bounce" => LagPolicy::Reject,
+        "await" => LagPolicy::WaitThenReject(family.span("catchUpWait")?),
         w => return Err(format!("unknown familyInfo.whenBehind {w:?}")),
     })
 }
@@ -260,9 +260,9 @@
             "token" => Effect::Keyed { scope: k.word("group", scope)?, window: k.span("keyTtl")? },
             w => return Err(format!("unknown repeat {w:?}")),
         };
-        let (aim, deadline) = (k.span("slo")?, k.limit("deadline")?);
+        let (latency_target, deadline) = (k.span("slo")?, k.limit("deadline")?);
         let (worth, late_worth) = (k.amount("worth")?, k.amount("lateWorth")?);
-        classes.push(Class { aim, deadline, worth, late_worth, effect, read });
+        classes.push(Class { latency_target, deadline, worth, late_worth, effect, read });
     }
     Ok(classes)
 }
@@ -280,13 +280,13 @@
     let k = Keys::new("facts.rules", facts.map.get("rules"))?;
     Ok(Rules {
         answer_slack: k.span("answerSlack")?,
-        cold_share: k.amount("coldShare")?,
-        cold: k.span("cold")?,
+        initial_capacity_share: k.amount("coldShare")?,
+        warm_up_time: k.span("cold")?,
         drain_grace: k.span("drainGrace")?,
-        fall_multiple: k.amount("fallMultiple")?,
-        fall: k.span("fall")?,
-        must_ask_in: k.map.get("mustAskIn").map_or(Ok(0), |_| k.span("mustAskIn"))?,
-        dropped_stay_open: k.map.get("droppedStayOpen").map_or(Ok(false), |_| k.flag("droppedStayOpen"))?,
+        overload_multiple: k.amount("fallMultiple")?,
+        overload_time: k.span("fall")?,
+        max_list_age: k.map.get("mustAskIn").map_or(Ok(0), |_| k.span("mustAskIn"))?,
+        delisted_stay_open: k.map.get("droppedStayOpen").map_or(Ok(false), |_| k.flag("droppedStayOpen"))?,
     })
 }
 
@@ -297,7 +297,7 @@
         return Err("facts.allowed.sendCap is 0, but must be 1 or more".into());
     }
     Ok(Allowed {
-        attempts,
+        max_attempts: attempts,
         second_copies: k.flag("secondCopies")?,
         probes: k.flag("probing")?,
         cancel: k.flag("mayCancel")?,
@@ -307,9 +307,9 @@
     })
 }
 
-fn prices(facts: &Keys) -> Result<Prices> {
+fn penalties(facts: &Keys) -> Result<Penalties> {
     let k = Keys::new("facts.penalties", facts.map.get("penalties"))?;
-    Ok(Prices { probe: k.amount("probe")?, cross_zone: k.amount("crossZone")?, waste: k.amount("waste")? })
+    Ok(Penalties { probe: k.amount("probe")?, cross_zone: k.amount("crossZone")?, waste: k.amount("waste")? })
 }
 
 /// The FNV-1a hash of a name, which is the same for every driver.
--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -175,7 +175,7 @@
     // Guards against least windows that are small for one driver and too much times the fleet.
     let taken = |seed| {
         let mut s = settings(vec![ANY]);
-        s.fleet = 250;
+        s.fleet_size = 250;
         let mut d = Driver::seeded(s, seed);
         d.members(&[PRIMARY, THIRD], PRIMARY);
         let mut cold = 0;
@@ -296,7 +296,7 @@
 fn suspicions_in_a_row_do_not_thin_a_member_to_nothing() {
     // Guards against a primary that is only crowded: each recovery used to halve its window, without end.
     let mut s = settings(vec![FRESH]);
-    s.fleet = 250;
+    s.fleet_size = 250;
     let mut d = Driver::new(s);
     d.members(&[PRIMARY], PRIMARY);
     let mut id = 0;
@@ -446,7 +446,7 @@
 fn suspect_is_looked_at_sooner_where_aims_are_short() {
     // Guards sites with short aims against gaps that suit one with long ones: writes wait for such a look.
     let mut s = settings(vec![WRITE]);
-    s.classes[0].aim = 50_000;
+    s.classes[0].latency_target = 50_000;
     let mut d = Driver::new(s);
     d.members(&[PRIMARY], PRIMARY);
     let write = d.write(1, 1);
@@ -458,8 +458,8 @@
 #[test]
 fn odd_settings_are_borne() {
     let mut s = settings(vec![ANY, WRITE]);
-    (s.fleet, s.allowed.attempts, s.rules.cold) = (0, 0, 0);
-    s.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (0, 0));
+    (s.fleet_size, s.allowed.max_attempts, s.rules.warm_up_time) = (0, 0, 0);
+    s.classes.iter_mut().for_each(|c| (c.latency_target, c.deadline) = (0, 0));
     let mut d = Driver::new(s);
     d.members(&[], PRIMARY);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
@@ -506,7 +506,7 @@
     // would count as quick.
     let sends = |answered: u64| {
         let mut s = settings(vec![ANY]);
-        s.fleet = 100;
+        s.fleet_size = 100;
         let mut d = Driver::new(s);
         d.members(&[PRIMARY], PRIMARY);
         for id in 0..1_000 {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -23,7 +23,7 @@
 
 pub fn settings(kinds: Vec<Kind>) -> Settings {
     let class = |(read, effect): Kind| Class {
-        aim: 200_000,
+        latency_target: 200_000,
         deadline: 900_000,
         worth: 1.0,
         late_worth: 0.0,
@@ -33,26 +33,26 @@
     Settings {
         classes: kinds.into_iter().map(class).collect(),
         zone: ZoneId(0),
-        fleet: 1,
-        me: 0,
+        fleet_size: 1,
+        driver_index: 0,
         tick: 5_000,
         list_on_request: false,
-        listed_role: ListedRole::Late,
-        tokens: Tokens::Remembered,
-        behind: Behind::Silent,
-        positions: true,
+        listed_role: ListedRole::Delayed,
+        session_tracking: SessionTracking::ByDriver,
+        lag_policy: LagPolicy::AnswerStale,
+        answers_carry_positions: true,
         rules: Rules {
             answer_slack: 20_000,
-            cold_share: 0.2,
-            cold: 10_000_000,
+            initial_capacity_share: 0.2,
+            warm_up_time: 10_000_000,
             drain_grace: 500_000,
-            fall_multiple: 2.5,
-            fall: 1_500_000,
-            must_ask_in: 10_000_000,
-            dropped_stay_open: false,
+            overload_multiple: 2.5,
+            overload_time: 1_500_000,
+            max_list_age: 10_000_000,
+            delisted_stay_open: false,
         },
         allowed: Allowed {
-            attempts: 6,
+            max_attempts: 6,
             second_copies: true,
             probes: true,
             cancel: true,
@@ -60,7 +60,7 @@
             retry_after: true,
             max_retry_after: 500_000,
         },
-        prices: Prices { probe: 0.02, cross_zone: 0.0, waste: 0.05 },
+        penalties: Penalties { probe: 0.02, cross_zone: 0.0, waste: 0.05 },
         tenants: Vec::new(),
         over_share_worth: 1.0,
     }
@@ -72,10 +72,11 @@
     let figures =
         [(500_000, 1_200_000, 2.0, 0.0), (600_000, 2_000_000, 1.0, 0.0), (600_000, 3_000_000, 3.0, 0.3)];
     for (c, (aim, deadline, worth, late_worth)) in s.classes.iter_mut().zip(figures) {
-        (c.aim, c.deadline, c.worth, c.late_worth) = (aim, deadline, worth, late_worth);
+        (c.latency_target, c.deadline, c.worth, c.late_worth) = (aim, deadline, worth, late_worth);
     }
-    (s.tokens, s.behind, s.listed_role) = (Tokens::Carried, Behind::Refuse, ListedRole::Start);
-    (s.allowed.attempts, s.allowed.second_copies, s.allowed.max_retry_after) = (8, false, 2_000_000);
+    (s.session_tracking, s.lag_policy, s.listed_role) =
+        (SessionTracking::ByRequest, LagPolicy::Reject, ListedRole::Initial);
+    (s.allowed.max_attempts, s.allowed.second_copies, s.allowed.max_retry_after) = (8, false, 2_000_000);
     s
 }
 
@@ -86,10 +87,11 @@
     let figures =
         [(250_000, 750_000, 3.0, 0.2), (500_000, 1_500_000, 2.0, 0.2), (500_000, 5_000_000, 3.0, 0.3)];
     for (c, (aim, deadline, worth, late_worth)) in s.classes.iter_mut().zip(figures) {
-        (c.aim, c.deadline, c.worth, c.late_worth) = (aim, deadline, worth, late_worth);
+        (c.latency_target, c.deadline, c.worth, c.late_worth) = (aim, deadline, worth, late_worth);
     }
-    (s.tokens, s.behind, s.listed_role) = (Tokens::Carried, Behind::Silent, ListedRole::Unlisted);
-    (s.allowed.attempts, s.allowed.second_copies, s.allowed.max_retry_after) = (10, true, 500_000);
+    (s.session_tracking, s.lag_policy, s.listed_role) =
+        (SessionTracking::ByRequest, LagPolicy::AnswerStale, ListedRole::Unlisted);
+    (s.allowed.max_attempts, s.allowed.second_copies, s.allowed.max_retry_after) = (10, true, 500_000);
     s.tenants = [100.0, 60.0, 40.0].map(|rate| Tenant { rate }).to_vec();
     s.over_share_worth = 0.1;
     s
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -15,7 +15,7 @@
 /// many times its rate; clients whose request is refused come once more. Tells which share of each tenant's requests was
 /// answered in time.
 fn served(settings: Settings, times: [f64; 3]) -> [f64; 3] {
-    let (aim, rates) = (settings.classes[0].aim, [100.0, 60.0, 40.0]);
+    let (aim, rates) = (settings.classes[0].latency_target, [100.0, 60.0, 40.0]);
     let mut d = Driver::new(settings);
     d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
     d.report(PRIMARY, 0, true);
@@ -91,12 +91,12 @@
         d.position(REPLICA, 1);
         d.tenant = tenant;
         d.request_in(1, 0, GROUP);
-        assert_eq!((d.sent(1).len(), d.balancer.is_beyond(RequestId(1))), (1, beyond), "{tenant:?}");
+        assert_eq!((d.sent(1).len(), d.balancer.exceeds_share(RequestId(1))), (1, beyond), "{tenant:?}");
     }
     let mut d = Driver::new(keyed_site());
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.request_in(1, 0, GROUP);
-    assert!(!d.balancer.is_beyond(RequestId(1)), "nobody has a share here");
+    assert!(!d.balancer.exceeds_share(RequestId(1)), "nobody has a share here");
 }
 
 #[test]
@@ -105,12 +105,12 @@
     d.run_to(60_000_000);
     d.tenant = Some(TenantId(1));
     (0..100).for_each(|id| d.request_in(id, 0, GROUP));
-    let within = (0..100).filter(|id| !d.balancer.is_beyond(RequestId(*id))).count();
+    let within = (0..100).filter(|id| !d.balancer.exceeds_share(RequestId(*id))).count();
     // Sixty a second.
     assert_eq!(within, 31, "half a second's, and the one that is due now");
     d.run_to(60_500_000);
     (100..200).for_each(|id| d.request_in(id, 0, GROUP));
-    let within = (100..200).filter(|id| !d.balancer.is_beyond(RequestId(*id))).count();
+    let within = (100..200).filter(|id| !d.balancer.exceeds_share(RequestId(*id))).count();
     assert!((29..=31).contains(&within), "{within}");
 }
 
@@ -207,7 +207,7 @@
 fn roaming_session_sees_its_write_by_what_its_client_carries() {
     // Guards sessions of which another proxy took the write: this one has seen nothing of it.
     for site in [keyed_site(), shared_site()] {
-        let checked = site.behind != Behind::Silent;
+        let checked = site.lag_policy != LagPolicy::AnswerStale;
         let mut d = Driver::new(site);
         d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
         d.report(PRIMARY, 0, true);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,7 +9,7 @@
 /// over each as `takes` says of the time. Tells those that were never sent, and the attempts held, every 10 ms.
 fn writes_of_one_in_a_fleet(seed: u64, takes: impl Fn(Micros) -> Micros) -> (Vec<Micros>, Vec<usize>) {
     let mut s = settings(vec![WRITE]);
-    s.fleet = 100;
+    s.fleet_size = 100;
     let mut d = Driver::seeded(s, seed);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     let (mut asked, mut held) = (Vec::new(), Vec::new());
@@ -66,7 +66,7 @@
     const COLD: MemberId = MemberId(3);
     let taken = |seed: u64| {
         let mut s = settings(vec![WRITE]);
-        s.fleet = 100;
+        s.fleet_size = 100;
         let mut d = Driver::seeded(s, seed);
         d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
         for step in 0..1_300 {
@@ -100,7 +100,7 @@
 /// writes at another set's primary that were answered late.
 fn read_reaches_the_primary_after_late_answers_elsewhere(fleet: u32, seed: u64) -> bool {
     let mut s = settings(vec![WRITE, BOUNDED]);
-    s.fleet = fleet;
+    s.fleet_size = fleet;
     let mut d = Driver::seeded(s, seed);
     let other = |m, leader| Entry { group: GroupId(2), ..entry(m, leader) };
     let sets =
@@ -136,7 +136,7 @@
     let tried = |after: Micros| {
         let one = |seed: &u64| {
             let mut s = settings(vec![BOUNDED]);
-            (s.fleet, s.behind, s.allowed.probes) = (300, Behind::Refuse, false);
+            (s.fleet_size, s.lag_policy, s.allowed.probes) = (300, LagPolicy::Reject, false);
             let mut d = Driver::seeded(s, *seed);
             d.members(&[PRIMARY, REPLICA], PRIMARY);
             d.at(5_000_000);
@@ -276,9 +276,9 @@
 /// would push it over; and its share of the work when it is warm.
 fn sent_to_a_cold_member(rule: ColdRule, capacity: f64, seed: u64) -> (f64, f64) {
     let mut s = settings(vec![ANY, ANY]);
-    s.fleet = CROWD as u32;
-    (s.rules.cold_share, s.rules.cold) = (rule.share, rule.cold);
-    (s.rules.fall_multiple, s.rules.fall) = (rule.multiple, rule.fall);
+    s.fleet_size = CROWD as u32;
+    (s.rules.initial_capacity_share, s.rules.warm_up_time) = (rule.share, rule.cold);
+    (s.rules.overload_multiple, s.rules.overload_time) = (rule.multiple, rule.fall);
     let mut members: Vec<_> = (0..3).map(|_| Served::new(capacity)).collect();
     let instances = (0..CROWD as u64).map(|n| Instance::new(s.clone(), seed * 1_000 + n));
     let mut instances: Vec<_> = instances.collect();
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -165,7 +165,7 @@
         d.list(ListKind::Incremental, vec![gone]);
         d.list(ListKind::Full, vec![entry(PRIMARY, true)]);
     }
-    assert_eq!(d.balancer.targets().known, 2, "one listed, one that still owes an answer");
+    assert_eq!(d.balancer.member_counts().known, 2, "one listed, one that still owes an answer");
     d.ok((1, 0, REPLICA), None, false);
     d.list(ListKind::Incremental, vec![entry(REPLICA, false)]);
     d.request(2, ANY, None);
@@ -184,9 +184,9 @@
     d.list(ListKind::Full, vec![entry(PRIMARY, true), entry(REPLICA, false)]);
     d.request(1, ANY, None);
     assert_eq!(d.sent(1), vec![PRIMARY]);
-    assert_eq!(d.balancer.targets(), Targets { known: 2, listed: 2, avoided: 1 });
+    assert_eq!(d.balancer.member_counts(), MemberCounts { known: 2, listed: 2, unavailable: 1 });
     maintain(&mut d, false);
-    assert_eq!(d.balancer.targets().avoided, 0);
+    assert_eq!(d.balancer.member_counts().unavailable, 0);
     for id in 10..40 {
         d.request(id, ANY, None);
     }
@@ -197,7 +197,7 @@
 #[test]
 fn vanished_member_stays_open_where_the_settings_say_so() {
     let mut s = settings(vec![FRESH]);
-    s.rules.dropped_stay_open = true;
+    s.rules.delisted_stay_open = true;
     let mut d = Driver::new(s);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.list(ListKind::Full, vec![entry(REPLICA, false)]);
--- a/tests/reads.rs
+++ b/tests/reads.rs
@@ -88,7 +88,7 @@
 #[test]
 fn carried_token_replaces_the_bucket_position() {
     let mut s = settings(vec![SESSION]);
-    s.tokens = Tokens::Carried;
+    s.session_tracking = SessionTracking::ByRequest;
     let mut d = Driver::new(s);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.at(1_000_000);
@@ -103,7 +103,7 @@
 #[test]
 fn checked_read_may_try_a_replica_slightly_behind_and_a_miss_turns_it_to_the_primary() {
     let mut s = settings(vec![SESSION]);
-    (s.tokens, s.behind) = (Tokens::Carried, Behind::Wait(50_000));
+    (s.session_tracking, s.lag_policy) = (SessionTracking::ByRequest, LagPolicy::WaitThenReject(50_000));
     let mut d = Driver::new(s);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.at(1_000_000);
@@ -131,7 +131,7 @@
 fn read_that_finds_no_member_holds_up_none_that_needs_less() {
     // Guards the pass over requests that wait: of writes and bounded reads one stands for all, not of session reads.
     let mut s = settings(vec![SESSION]);
-    s.tokens = Tokens::Carried;
+    s.session_tracking = SessionTracking::ByRequest;
     let mut d = Driver::new(s);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.handle(Event::Maintenance { member: PRIMARY, out: true });
@@ -194,7 +194,7 @@
     // Guards against stale answers to plain statements, which carry no position for a replica to check.
     for (checked, expect) in [(true, REPLICA), (false, PRIMARY)] {
         let mut s = settings(vec![SESSION]);
-        (s.tokens, s.behind) = (Tokens::Carried, Behind::Refuse);
+        (s.session_tracking, s.lag_policy) = (SessionTracking::ByRequest, LagPolicy::Reject);
         let mut d = Driver::new(s);
         d.members(&[PRIMARY, REPLICA], PRIMARY);
         d.at(1_000_000);
