--- a/crates/gradeshunt/src/backend.rs
+++ b/crates/gradeshunt/src/backend.rs
@@ -17,7 +17,7 @@
 
 use std::collections::BTreeMap;
 
-use leadmast::settings::{Connections, Names};
+use leadmast::settings::{ConnectionSettings, Names};
 use leadmast::{Ending, MemberId, Micros};
 
 use self::connection::{Server, Stage};
@@ -35,7 +35,7 @@
 
 /// The server side.
 pub struct Backend {
-    connections: Connections,
+    connections: ConnectionSettings,
     fields: Vec<String>,
     most: usize,
     /// Who the proxy is to others of its group.
@@ -50,7 +50,7 @@
 }
 
 impl Backend {
-    pub fn new(connections: Connections, names: &Names) -> Self {
+    pub fn new(connections: ConnectionSettings, names: &Names) -> Self {
         Backend {
             connections,
             fields: names.fields.clone(),
--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -196,7 +196,7 @@
     fn make_idle(&mut self, turn: &mut Turn, id: ServerId) -> Option<(MemberId, Stage)> {
         let s = self.servers.get_mut(&id)?;
         let member = s.member;
-        let until = turn.now + (self.connections.idle as f64 * IDLE_SHARE) as Micros;
+        let until = turn.now + (self.connections.idle_timeout as f64 * IDLE_SHARE) as Micros;
         let former = std::mem::replace(&mut s.stage, Stage::Idle { since: turn.now, until });
         turn.deadlines.set(until, Due::Server(id));
         let host = self.hosts.get_mut(&member)?;
--- a/crates/gradeshunt/src/config.rs
+++ b/crates/gradeshunt/src/config.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use leadmast::settings::{self, Facts};
+use leadmast::settings::{self, ParsedSettings};
 use leadmast::Micros;
 use serde_json::Value;
 
@@ -40,7 +40,7 @@
     /// The list of db hosts as this proxy last held it, in discovery's form; null where there is none.
     pub known: Value,
     /// The settings, as the decision module reads them.
-    pub facts: Facts,
+    pub facts: ParsedSettings,
     /// How plain statements are routed, where the operators' file says so.
     pub rules: Option<Rules>,
     /// What is done at the loss of a site, where the operators' file says so.
@@ -183,7 +183,7 @@
 }
 
 /// The operators' file on plain statements.
-fn read_rules(file: &str, facts: &Facts) -> Result<Rules, ConfigError> {
+fn read_rules(file: &str, facts: &ParsedSettings) -> Result<Rules, ConfigError> {
     Ok(rules::parse(&read_file(Path::new(file))?, facts).map_err(|e| format!("{file}:{e}"))?)
 }
 
@@ -201,7 +201,7 @@
 }
 
 /// The operators' file on sites. Plans are made here, away from the loop.
-fn read_sites(file: &str, facts: &Facts) -> Result<Sites, ConfigError> {
+fn read_sites(file: &str, facts: &ParsedSettings) -> Result<Sites, ConfigError> {
     let text = read_file(Path::new(file))?;
     Ok(Sites::new(&text, facts, 0).map_err(|e| format!("{file}:{e}"))?)
 }
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -1,7 +1,7 @@
 //! What was done, judged by the rules: attempts as they were written and final answers as they were given. Denials, violations
 //! and retries are counted for operators here.
 
-use leadmast::invariant::{violates_answer_time, violates_drain, Rule, Written};
+use leadmast::invariant::{violates_answer_time, violates_drain, Rule, WrittenAttempt};
 use leadmast::permission::AttemptDenial;
 use leadmast::{Effect, Ending, MemberId, Micros, RequestId};
 use slog::{debug, error, info, warn};
@@ -36,16 +36,16 @@
             Effect::Unsafe => Some(None),
             Effect::Keyed { window, .. } => Some(Some(since + window)),
         });
-        let written = Written {
+        let written = WrittenAttempt {
             at,
-            told,
+            remaining_sent: told,
             deadline: r.deadline,
             client_left: r.left,
             repeat_until,
             settled_at: r.settled_at,
-            others_out: r.others_out(attempt.number),
-            number: attempt.number,
-            attempts: self.limits.attempts,
+            others_in_flight: r.others_out(attempt.number),
+            attempt: attempt.number,
+            attempts: self.limits.max_attempts,
             second_copies: self.limits.second_copies,
         };
         for rule in written.violations() {
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -56,7 +56,7 @@
             },
             slack: settings.rules.answer_slack,
             limits: AttemptLimits {
-                attempts: settings.allowed.max_attempts,
+                max_attempts: settings.allowed.max_attempts,
                 // One at a time here, whatever the settings allow.
                 second_copies: false,
                 margin: settings.tick,
--- a/crates/gradeshunt/src/exchange/tests.rs
+++ b/crates/gradeshunt/src/exchange/tests.rs
@@ -82,7 +82,7 @@
         self.exchange.ended(&mut self.turn, ended);
         let repeat = next_start(&mut self.exchange).expect("another attempt");
         self.exchange.dispatched(&self.turn, repeat, None);
-        self.exchange.figures().violations.of(Rule::OneAttempt)
+        self.exchange.figures().violations.count(Rule::OneAttempt)
     }
 }
 
@@ -98,7 +98,7 @@
     play.exchange.timer(&mut play.turn, TimerTag(0));
     let repeat = AttemptId { number: play.first.number + 1, ..play.first };
     play.exchange.dispatched(&play.turn, repeat, None);
-    play.exchange.figures().violations.of(Rule::Repeat)
+    play.exchange.figures().violations.count(Rule::Repeat)
 }
 
 /// Guards the process's own count against writes that run twice: it judges by what was written and what the db host said, and not by the
--- a/crates/gradeshunt/src/routing/mod.rs
+++ b/crates/gradeshunt/src/routing/mod.rs
@@ -219,7 +219,7 @@
     use super::*;
     use leadmast::settings;
 
-    fn facts() -> settings::Facts {
+    fn facts() -> settings::ParsedSettings {
         let mut config: serde_json::Value =
             serde_json::from_str(include_str!("../../../../examples/config.json")).expect("JSON");
         let given = &mut config["settings"];
--- a/crates/gradeshunt/src/routing/rules.rs
+++ b/crates/gradeshunt/src/routing/rules.rs
@@ -4,7 +4,7 @@
 
 use gradeshunt_classing::{Access, Declared};
 use gradeshunt_textproto::{Message, Schema};
-use leadmast::settings::Facts;
+use leadmast::settings::ParsedSettings;
 use leadmast::{Effect, GroupId, Micros};
 
 use super::{writes, Match, Route, Rules};
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// What is wrong with it, in one line, with its place.
-pub fn parse(text: &str, facts: &Facts) -> Result<Rules, String> {
+pub fn parse(text: &str, facts: &ParsedSettings) -> Result<Rules, String> {
     let message = read(text)?;
     let routes = message.list("route").iter().map(|r| route(r, facts)).collect::<Result<Vec<_>, _>>()?;
     if routes.is_empty() {
@@ -60,7 +60,7 @@
     Ok(Rules { routes, declared, shapes: usize::try_from(kb).unwrap_or(usize::MAX).saturating_mul(1024) })
 }
 
-fn route(route: &Message, facts: &Facts) -> Result<Route, String> {
+fn route(route: &Message, facts: &ParsedSettings) -> Result<Route, String> {
     let name = route.text("name");
     let class = route.text("class");
     let classes = &facts.names;
--- a/crates/sites/src/proxy.rs
+++ b/crates/sites/src/proxy.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-use leadmast::settings::Facts;
+use leadmast::settings::ParsedSettings;
 use leadmast::{ClassId, Entry, GroupId, ListKind, MemberId, Micros, Phase, TenantId, ZoneId};
 
 use crate::admission::{Admission, Kind, ANEW};
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// What is wrong with it: line, field, and what was expected; or that it does not fit the settings.
-    pub fn new(text: &str, facts: &Facts, now: Micros) -> Result<Sites, String> {
+    pub fn new(text: &str, facts: &ParsedSettings, now: Micros) -> Result<Sites, String> {
         let layout = Layout::parse(text)?;
         let names = &facts.names;
         let mut zones = BTreeMap::new();
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -136,7 +136,7 @@
             settled_at: r.settled_at,
         };
         let limits = AttemptLimits {
-            attempts: allowed.max_attempts,
+            max_attempts: allowed.max_attempts,
             second_copies: allowed.second_copies,
             margin: self.settings.tick,
         };
--- a/src/bin/leadmast-wirehost/wire.rs
+++ b/src/bin/leadmast-wirehost/wire.rs
@@ -185,7 +185,10 @@
     Ok(Event::Outcome(Outcome {
         request: RequestId(row.int(1, "corr")?),
         last: row.need(2, "last", "true or false", Value::as_bool)?,
-        note: note(row.maybe(3, "stamp", "a whole number", Value::as_u64)?.unwrap_or(0), names.site.zero)?,
+        note: note(
+            row.maybe(3, "stamp", "a whole number", Value::as_u64)?.unwrap_or(0),
+            names.site.position_zero,
+        )?,
         member: names.known(row.text(4, "member")?)?,
         elapsed: row.time(5, "delaySeen")?,
         ending: ending(row.int(6, "ending")?)?,
@@ -219,7 +222,7 @@
         }
         let v = v.as_f64().ok_or_else(|| format!("{}: a value of metrics is not a number: {v}", row.what))?;
         match field.as_str() {
-            "x0" => report.position = Some(names.site.zero + (v * 1e6).floor() as Micros),
+            "x0" => report.position = Some(names.site.position_zero + (v * 1e6).floor() as Micros),
             "x1" => report.primary = Some(v == 1.0),
             "concurrent" => report.inflight = Some(v),
             "depth" => report.queue = Some(v),
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -9,9 +9,9 @@
 use crate::interface::Micros;
 
 /// An attempt may still begin this long after the client has left.
-const LEFT_GRACE: Micros = 100_000;
+const CLIENT_LEFT_GRACE: Micros = 100_000;
 /// The remaining time sent to a db host may exceed the client's remaining time by this much.
-const TOLD_SLACK: Micros = 150_000;
+const REMAINING_TIME_SLACK: Micros = 150_000;
 /// A final answer may follow the request's deadline by this much.
 const ANSWER_SLACK: Micros = 500_000;
 
@@ -30,7 +30,7 @@
     /// No attempt begins long after the client has left.
     ClientLeft,
     /// The remaining time sent to a db host does not exceed the client's.
-    DeadlineTold,
+    RemainingTimeSent,
     /// A request gets its final answer in time.
     AnswerInTime,
     /// The proxy closes no connection with a request that it has read and not answered.
@@ -50,7 +50,7 @@
         Rule::Repeat,
         Rule::Drain,
         Rule::ClientLeft,
-        Rule::DeadlineTold,
+        Rule::RemainingTimeSent,
         Rule::AnswerInTime,
         Rule::ClosedUnanswered,
         Rule::ExpiredConnection,
@@ -64,7 +64,7 @@
             Rule::Repeat => "repeat",
             Rule::Drain => "drain",
             Rule::ClientLeft => "client_left",
-            Rule::DeadlineTold => "deadline_told",
+            Rule::RemainingTimeSent => "deadline_told",
             Rule::AnswerInTime => "answer_in_time",
             Rule::ClosedUnanswered => "closed_unanswered",
             Rule::ExpiredConnection => "expired_connection",
@@ -83,28 +83,28 @@
     }
 
     /// Returns the number of violations of a rule.
-    pub fn of(&self, rule: Rule) -> u64 {
+    pub fn count(&self, rule: Rule) -> u64 {
         self.0[rule as usize]
     }
 
     /// Iterates over the rules and their numbers of violations.
     pub fn by_rule(&self) -> impl Iterator<Item = (Rule, u64)> + '_ {
-        Rule::ALL.into_iter().map(|rule| (rule, self.of(rule)))
+        Rule::ALL.into_iter().map(|rule| (rule, self.count(rule)))
     }
 
     /// Returns the total number of violations.
-    pub fn sum(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
 }
 
 /// An attempt whose last byte was passed to the kernel at `at`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Written {
+pub struct WrittenAttempt {
     /// When the last byte was passed to the kernel.
     pub at: Micros,
     /// The remaining time that was sent with it, if any.
-    pub told: Option<Micros>,
+    pub remaining_sent: Option<Micros>,
     /// When its client stops waiting for an answer.
     pub deadline: Micros,
     /// When its client left, if it has.
@@ -115,32 +115,34 @@
     /// When the closes of the request's earlier connections take effect, if any was closed.
     pub settled_at: Option<Micros>,
     /// Number of other attempts of the request in flight at that time.
-    pub others_out: u32,
+    pub others_in_flight: u32,
     /// Number of the attempt, from 0.
-    pub number: u32,
+    pub attempt: u32,
     /// Maximum number of attempts by the settings.
     pub attempts: u32,
     /// Whether the settings allow two attempts in flight.
     pub second_copies: bool,
 }
 
-impl Written {
+impl WrittenAttempt {
     /// Returns the rules that the attempt violates.
     pub fn violations(&self) -> Vec<Rule> {
-        let told_too_much = self.told.is_some_and(|told| self.at + told > self.deadline + TOLD_SLACK);
-        let left_before = self.client_left.is_some_and(|left| self.at > left + LEFT_GRACE);
+        let too_much_time_sent =
+            self.remaining_sent.is_some_and(|told| self.at + told > self.deadline + REMAINING_TIME_SLACK);
+        let left_before = self.client_left.is_some_and(|left| self.at > left + CLIENT_LEFT_GRACE);
         let repeated = match self.repeat_until {
             None => false,
             Some(None) => true,
             Some(Some(until)) => self.at > until,
         };
-        let beside_another = self.others_out > 0 || self.settled_at.is_some_and(|settled| self.at < settled);
+        let another_in_flight =
+            self.others_in_flight > 0 || self.settled_at.is_some_and(|settled| self.at < settled);
         let found = [
-            (Rule::OneAttempt, beside_another && !self.second_copies),
-            (Rule::AttemptLimit, self.number >= self.attempts),
+            (Rule::OneAttempt, another_in_flight && !self.second_copies),
+            (Rule::AttemptLimit, self.attempt >= self.attempts),
             (Rule::Repeat, repeated),
             (Rule::ClientLeft, left_before),
-            (Rule::DeadlineTold, told_too_much),
+            (Rule::RemainingTimeSent, too_much_time_sent),
         ];
         found.into_iter().filter(|(_, violated)| *violated).map(|(rule, _)| rule).collect()
     }
--- a/src/permission/attempt.rs
+++ b/src/permission/attempt.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptLimits {
     /// Maximum number of attempts of one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at the same time.
     pub second_copies: bool,
     /// How long before the end of its window a repeat has to be sent.
@@ -162,7 +162,7 @@
     if request.client_left {
         return Err(AttemptDenial::ClientLeft);
     }
-    if request.attempts_begun >= limits.attempts {
+    if request.attempts_begun >= limits.max_attempts {
         return Err(AttemptDenial::AttemptsUsed);
     }
     if request.in_flight > 0 && !limits.second_copies {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -20,7 +20,7 @@
     /// Fields of a member's load report.
     pub fields: Vec<String>,
     /// The time that is position 0 on the settings' clock.
-    pub zero: Micros,
+    pub position_zero: Micros,
 }
 
 impl Names {
@@ -43,22 +43,22 @@
 
 /// Connection settings. The library itself does not use them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Connections {
+pub struct ConnectionSettings {
     /// A member closes a connection that has been idle for this long.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
 }
 
 /// The parsed settings object.
 #[derive(Clone, Debug)]
-pub struct Facts {
+pub struct ParsedSettings {
     /// The settings of the balancer.
     pub settings: Settings,
     /// The names behind the numbers in `settings`.
     pub names: Names,
     /// Settings for drivers that manage connections themselves.
-    pub connections: Connections,
+    pub connections: ConnectionSettings,
 }
 
 /// Converts milliseconds to microseconds; `None` if the value is not a number or too large for a clock.
@@ -79,47 +79,47 @@
         Ok(Keys { path, map })
     }
 
-    fn need<T>(&self, key: &str, kind: &str, f: impl Fn(&'a Value) -> Option<T>) -> Result<T> {
+    fn required<T>(&self, key: &str, kind: &str, f: impl Fn(&'a Value) -> Option<T>) -> Result<T> {
         let v = self.map.get(key).ok_or_else(|| format!("{}.{key} is missing", self.path))?;
         f(v).ok_or_else(|| format!("{}.{key} is not {kind}: {v}", self.path))
     }
 
     fn num(&self, key: &str) -> Result<f64> {
-        self.need(key, "a number", Value::as_f64)
+        self.required(key, "a number", Value::as_f64)
     }
 
     fn time(&self, key: &str) -> Result<Micros> {
-        self.need(key, "a time", time)
+        self.required(key, "a time", time)
     }
 
     /// A duration, which must not be negative.
-    fn span(&self, key: &str) -> Result<Micros> {
-        self.need(key, "a time of 0 or more", |v| time(v).filter(|t| *t >= 0))
+    fn duration(&self, key: &str) -> Result<Micros> {
+        self.required(key, "a time of 0 or more", |v| time(v).filter(|t| *t >= 0))
     }
 
     /// A time limit, which must be above zero, since nothing could meet a limit of zero.
-    fn limit(&self, key: &str) -> Result<Micros> {
-        self.need(key, "a time above 0", |v| time(v).filter(|t| *t > 0))
+    fn positive_duration(&self, key: &str) -> Result<Micros> {
+        self.required(key, "a time above 0", |v| time(v).filter(|t| *t > 0))
     }
 
     fn amount(&self, key: &str) -> Result<f64> {
-        self.need(key, "a number of 0 or more", |v| v.as_f64().filter(|n| *n >= 0.0))
+        self.required(key, "a number of 0 or more", |v| v.as_f64().filter(|n| *n >= 0.0))
     }
 
     fn flag(&self, key: &str) -> Result<bool> {
-        self.need(key, "true or false", Value::as_bool)
+        self.required(key, "true or false", Value::as_bool)
     }
 
     fn text(&self, key: &str) -> Result<&'a str> {
-        self.need(key, "text", Value::as_str)
+        self.required(key, "text", Value::as_str)
     }
 
     fn list(&self, key: &str) -> Result<&'a Vec<Value>> {
-        self.need(key, "a list", Value::as_array)
+        self.required(key, "a list", Value::as_array)
     }
 
     fn count(&self, key: &str) -> Result<u32> {
-        self.need(key, "a whole number", |v| v.as_u64().and_then(|n| u32::try_from(n).ok()))
+        self.required(key, "a whole number", |v| v.as_u64().and_then(|n| u32::try_from(n).ok()))
     }
 
     fn texts(&self, key: &str) -> Result<Vec<String>> {
@@ -127,13 +127,13 @@
         texts.collect::<Option<_>>().ok_or_else(|| format!("{}.{key} is not a list of text", self.path))
     }
 
-    fn word<T>(&self, key: &str, f: impl Fn(&str) -> Option<T>) -> Result<T> {
-        self.need(key, "a known value", |v| f(v.as_str()?))
+    fn keyword<T>(&self, key: &str, f: impl Fn(&str) -> Option<T>) -> Result<T> {
+        self.required(key, "a known value", |v| f(v.as_str()?))
     }
 }
 
 /// Parses the settings object.
-pub fn read(facts: &Value) -> Result<Facts> {
+pub fn read(facts: &Value) -> Result<ParsedSettings> {
     let facts = Keys::new("facts", Some(facts))?;
     let family = Keys::new("facts.familyInfo", facts.map.get("familyInfo"))?;
     let feedback = Keys::new("facts.feedback", facts.map.get("feedback"))?;
@@ -142,7 +142,7 @@
         tenants: Vec::new(),
         zones: facts.texts("failureDomains")?,
         fields: feedback.texts("fields")?,
-        zero: family.time("positionZero")?,
+        position_zero: family.time("positionZero")?,
     };
     for v in facts.list("categories")? {
         let name = Keys::new("facts.categories[]", Some(v))?.text("name")?;
@@ -168,19 +168,19 @@
         zone: names.zone(facts.text("zone")?)?,
         fleet_size,
         driver_index,
-        tick: facts.span("tick")?,
-        list_on_request: facts.word("membershipMode", |w| match w {
+        tick: facts.duration("tick")?,
+        list_on_request: facts.keyword("membershipMode", |w| match w {
             "on_request" => Some(true),
             "pushed" => Some(false),
             _ => None,
         })?,
-        listed_role: family.word("roleListed", |w| match w {
+        listed_role: family.keyword("roleListed", |w| match w {
             "trailing" => Some(ListedRole::Delayed),
             "static" => Some(ListedRole::Initial),
             "silent" => Some(ListedRole::Unlisted),
             _ => None,
         })?,
-        session_tracking: family.word("sessionMarks", |w| match w {
+        session_tracking: family.keyword("sessionMarks", |w| match w {
             "brought" => Some(SessionTracking::ByRequest),
             "kept" => Some(SessionTracking::ByDriver),
             _ => None,
@@ -194,7 +194,7 @@
         // Not needed without tenants.
         over_share_worth: if names.tenants.is_empty() { 1.0 } else { facts.amount("overShareWorth")? },
     };
-    Ok(Facts { settings, names, connections: connections(&facts)? })
+    Ok(ParsedSettings { settings, names, connections: connections(&facts)? })
 }
 
 /// Reads the tenants and their names; a deployment may have none.
@@ -216,13 +216,17 @@
     Ok(tenants)
 }
 
-fn connections(facts: &Keys) -> Result<Connections> {
+fn connections(facts: &Keys) -> Result<ConnectionSettings> {
     let k = Keys::new("facts.allowed", facts.map.get("allowed"))?;
     // The simulator manages connections itself, so its adapter may omit these.
     let given = |key: &str| k.map.contains_key(key);
-    Ok(Connections {
-        idle: if given("connIdle") { k.span("connIdle")? } else { 30_000_000 },
-        connect_timeout: if given("connectTimeout") { k.limit("connectTimeout")? } else { 250_000 },
+    Ok(ConnectionSettings {
+        idle_timeout: if given("connIdle") { k.duration("connIdle")? } else { 30_000_000 },
+        connect_timeout: if given("connectTimeout") {
+            k.positive_duration("connectTimeout")?
+        } else {
+            250_000
+        },
     })
 }
 
@@ -230,7 +234,7 @@
     Ok(match family.text("whenBehind")? {
         "silent" => LagPolicy::AnswerStale,
         "bounce" => LagPolicy::Reject,
-        "await" => LagPolicy::WaitThenReject(family.span("catchUpWait")?),
+        "await" => LagPolicy::WaitThenReject(family.duration("catchUpWait")?),
         w => return Err(format!("unknown familyInfo.whenBehind {w:?}")),
     })
 }
@@ -257,10 +261,10 @@
         let effect = match k.text("repeat")? {
             "pure" => Effect::Safe,
             "side_effect" => Effect::Unsafe,
-            "token" => Effect::Keyed { scope: k.word("group", scope)?, window: k.span("keyTtl")? },
+            "token" => Effect::Keyed { scope: k.keyword("group", scope)?, window: k.duration("keyTtl")? },
             w => return Err(format!("unknown repeat {w:?}")),
         };
-        let (latency_target, deadline) = (k.span("slo")?, k.limit("deadline")?);
+        let (latency_target, deadline) = (k.duration("slo")?, k.positive_duration("deadline")?);
         let (worth, late_worth) = (k.amount("worth")?, k.amount("lateWorth")?);
         classes.push(Class { latency_target, deadline, worth, late_worth, effect, read });
     }
@@ -279,13 +283,13 @@
 fn rules(facts: &Keys) -> Result<Rules> {
     let k = Keys::new("facts.rules", facts.map.get("rules"))?;
     Ok(Rules {
-        answer_slack: k.span("answerSlack")?,
+        answer_slack: k.duration("answerSlack")?,
         initial_capacity_share: k.amount("coldShare")?,
-        warm_up_time: k.span("cold")?,
-        drain_grace: k.span("drainGrace")?,
+        warm_up_time: k.duration("cold")?,
+        drain_grace: k.duration("drainGrace")?,
         overload_multiple: k.amount("fallMultiple")?,
-        overload_time: k.span("fall")?,
-        max_list_age: k.map.get("mustAskIn").map_or(Ok(0), |_| k.span("mustAskIn"))?,
+        overload_time: k.duration("fall")?,
+        max_list_age: k.map.get("mustAskIn").map_or(Ok(0), |_| k.duration("mustAskIn"))?,
         delisted_stay_open: k.map.get("droppedStayOpen").map_or(Ok(false), |_| k.flag("droppedStayOpen"))?,
     })
 }
@@ -303,7 +307,7 @@
         cancel: k.flag("mayCancel")?,
         peers: k.flag("peers")?,
         retry_after: k.flag("retryAfter")?,
-        max_retry_after: k.span("maxRetryAfter")?,
+        max_retry_after: k.duration("maxRetryAfter")?,
     })
 }
 
--- a/tests/permission.rs
+++ b/tests/permission.rs
@@ -1,6 +1,6 @@
 //! The rules in one place: each question with the facts that decide it, at the edges of its times.
 
-use leadmast::invariant::{violates_answer_time, violates_drain, Rule, Violations, Written};
+use leadmast::invariant::{violates_answer_time, violates_drain, Rule, Violations, WrittenAttempt};
 use leadmast::permission::*;
 use leadmast::{Effect, Micros, Scope, ZoneId};
 
@@ -26,7 +26,7 @@
 }
 
 fn limits() -> AttemptLimits {
-    AttemptLimits { attempts: 3, second_copies: false, margin: MARGIN }
+    AttemptLimits { max_attempts: 3, second_copies: false, margin: MARGIN }
 }
 
 fn doubt(since: Micros) -> Option<PossibleExecution> {
@@ -186,35 +186,38 @@
 /// Guards the guard: an attempt that breaks a rule is found, and one that keeps all breaks none.
 #[test]
 fn violations_are_found_and_counted_by_rule() {
-    let sound = Written {
+    let sound = WrittenAttempt {
         at: 1_000_000,
-        told: Some(500_000),
+        remaining_sent: Some(500_000),
         deadline: 1_500_000,
         client_left: None,
         repeat_until: None,
         settled_at: None,
-        others_out: 0,
-        number: 0,
+        others_in_flight: 0,
+        attempt: 0,
         attempts: 3,
         second_copies: false,
     };
     assert_eq!(sound.violations(), []);
     let broken = [
-        (Written { others_out: 1, ..sound }, Rule::OneAttempt),
-        (Written { number: 3, ..sound }, Rule::AttemptLimit),
-        (Written { repeat_until: Some(None), ..sound }, Rule::Repeat),
-        (Written { repeat_until: Some(Some(999_999)), ..sound }, Rule::Repeat),
-        (Written { client_left: Some(899_999), ..sound }, Rule::ClientLeft),
-        (Written { told: Some(650_001), ..sound }, Rule::DeadlineTold),
+        (WrittenAttempt { others_in_flight: 1, ..sound }, Rule::OneAttempt),
+        (WrittenAttempt { attempt: 3, ..sound }, Rule::AttemptLimit),
+        (WrittenAttempt { repeat_until: Some(None), ..sound }, Rule::Repeat),
+        (WrittenAttempt { repeat_until: Some(Some(999_999)), ..sound }, Rule::Repeat),
+        (WrittenAttempt { client_left: Some(899_999), ..sound }, Rule::ClientLeft),
+        (WrittenAttempt { remaining_sent: Some(650_001), ..sound }, Rule::RemainingTimeSent),
     ];
     let mut violations = Violations::default();
     for (written, rule) in broken {
         assert_eq!(written.violations(), [rule]);
         written.violations().into_iter().for_each(|rule| violations.record(rule));
     }
-    assert_eq!((violations.sum(), violations.of(Rule::Repeat), violations.of(Rule::Drain)), (6, 2, 0));
-    let edge = Written { repeat_until: Some(Some(1_000_000)), client_left: Some(900_000), ..sound };
-    assert_eq!(Written { told: Some(650_000), ..edge }.violations(), []);
+    assert_eq!(
+        (violations.total(), violations.count(Rule::Repeat), violations.count(Rule::Drain)),
+        (6, 2, 0)
+    );
+    let edge = WrittenAttempt { repeat_until: Some(Some(1_000_000)), client_left: Some(900_000), ..sound };
+    assert_eq!(WrittenAttempt { remaining_sent: Some(650_000), ..edge }.violations(), []);
     assert!(violates_drain(251_000, Some(0), 250_000) && !violates_drain(250_000, Some(0), 250_000));
     assert!(!violates_drain(9_000_000, None, 250_000));
     assert!(violates_answer_time(1_500_001, 1_000_000) && !violates_answer_time(1_500_000, 1_000_000));
