--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -45,7 +45,7 @@
             settled_at: r.settled_at,
             others_in_flight: r.others_out(attempt.number),
             attempt: attempt.number,
-            attempts: self.limits.max_attempts,
+            max_attempts: self.limits.max_attempts,
             second_copies: self.limits.second_copies,
         };
         for rule in written.violations() {
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -106,7 +106,7 @@
     recent.0 * (-((now - recent.1) as f64) / DECAY_US).exp()
 }
 
-fn shortest_aim(settings: &Settings) -> Micros {
+fn shortest_latency_target(settings: &Settings) -> Micros {
     settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(0)
 }
 
@@ -148,10 +148,10 @@
     bucket: Option<usize>,
     arrived: Micros,
     /// When the client first sent the request; estimated if the request is marked as a retry.
-    began: Micros,
+    first_sent: Micros,
     deadline: Micros,
     /// The position that a read of its session needs; `None` if the session has written nothing.
-    need: Option<Micros>,
+    position_needed: Option<Micros>,
     /// Whether members check the needed position themselves and reject the read if they lag.
     checked: bool,
     /// The sequence number of a write; 0 for reads.
@@ -161,18 +161,18 @@
     /// Whether a replica has rejected the request, so that only the primary can serve it.
     primary_only: bool,
     /// The replica whose probe the request has waited for.
-    asked: Option<MemberId>,
+    probed_replica: Option<MemberId>,
     attempts: Vec<Attempt>,
     answered: bool,
     /// The time from which another attempt may follow the closed connections of earlier ones.
     settled_at: Option<Micros>,
     /// When the first attempt was sent that may have executed and was followed by another one. The window of
     /// a keyed class is counted from this time until the request ends.
-    copied_from: Option<Micros>,
+    uncertain_since: Option<Micros>,
 }
 
 impl Request {
-    fn out(&self) -> usize {
+    fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.ending.is_none()).count()
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// The first attempt that may have executed, which includes those in flight.
-    fn doubt(&self) -> Option<&Attempt> {
+    fn first_uncertain(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.ending.is_some_and(Ending::never_ran))
     }
 }
@@ -197,49 +197,49 @@
     sequence: u64,
     requests: BTreeMap<RequestId, Request>,
     /// Open requests by the time at which their final answer is due.
-    due: BTreeSet<(Micros, RequestId)>,
+    deadlines: BTreeSet<(Micros, RequestId)>,
     /// Held requests by the time at which to try again: when the close of a connection has taken effect, or
     /// when a probe has been waited for long enough.
     dispatch_due: BTreeSet<(Micros, RequestId)>,
     /// Estimated work per class: the median answer time. Answers of overloaded members do not raise it.
     work: Vec<f64>,
     /// Average time that clients of each class wait for an answer.
-    waits: Vec<f64>,
+    client_waits: Vec<f64>,
     /// Multiple of the usual answer time that nearly all answers stay below.
-    tail: f64,
+    tail_factor: f64,
     /// Tokens left in the retry budget and in the probe budget.
-    retries: f64,
-    probes: f64,
-    ask_at: Option<Micros>,
+    retry_tokens: f64,
+    probe_tokens: f64,
+    next_list_call: Option<Micros>,
     list_calls: ListCalls,
     /// Members to check in each round: those that have attempts in flight, answered recently or are suspects.
     /// Then the groups that hold requests.
-    watched: BTreeSet<MemberId>,
-    holding: BTreeSet<GroupId>,
+    active_members: BTreeSet<MemberId>,
+    groups_with_held: BTreeSet<GroupId>,
     /// The shortest time between two rounds, a small fraction of the shortest latency target.
-    pace: Micros,
+    min_round_gap: Micros,
     /// The time until which connections count as scarce: idle ones are closed, and a refused connect does not
     /// make a member a suspect.
     connections_scarce_until: Micros,
     /// When the next probe of a suspect is due.
     probe_due: Micros,
     /// When the next round is due.
-    timer: Micros,
+    next_round_at: Micros,
     /// The latest time for which a timer was set because held requests are due to be tried again.
-    resume_timer: Micros,
+    dispatch_timer: Micros,
     /// The time at which the driver's latest stall ended.
     stalled_until: Micros,
     /// When the driver started.
-    born: Micros,
+    started_at: Micros,
     /// The decayed sum of recently answered work, the cached weight of warm members with the time it was
     /// computed, and the mean of requests' worth per work.
-    served: Recent,
-    warm: (f64, Micros),
-    merit: f64,
+    recent_work: Recent,
+    warm_weight: (f64, Micros),
+    mean_worth_per_work: f64,
     /// Moving average of primaries' answer times, as a fraction of the latency target.
-    crowd: Recent,
+    primary_load: Recent,
     /// For each tenant, the time from which its next request counts as within its share.
-    shares: Vec<Micros>,
+    tenant_share_times: Vec<Micros>,
 }
 
 impl Balancer {
@@ -252,29 +252,29 @@
             buckets: vec![Bucket { position: NEVER, ..Bucket::default() }; BUCKETS as usize],
             sequence: 0,
             requests: BTreeMap::new(),
-            due: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             dispatch_due: BTreeSet::new(),
             work: settings.classes.iter().map(|c| (c.latency_target as f64 / 4.0).max(1.0)).collect(),
-            waits: settings.classes.iter().map(|c| c.deadline as f64).collect(),
-            tail: (TIMEOUT_FACTORS.0 + TIMEOUT_FACTORS.1) / 2.0,
-            retries: MAX_RETRY_TOKENS,
-            probes: MAX_PROBE_TOKENS,
-            ask_at: settings.list_on_request.then_some(now),
+            client_waits: settings.classes.iter().map(|c| c.deadline as f64).collect(),
+            tail_factor: (TIMEOUT_FACTORS.0 + TIMEOUT_FACTORS.1) / 2.0,
+            retry_tokens: MAX_RETRY_TOKENS,
+            probe_tokens: MAX_PROBE_TOKENS,
+            next_list_call: settings.list_on_request.then_some(now),
             list_calls: ListCalls::new(now, settings.fleet_size),
-            watched: BTreeSet::new(),
-            holding: BTreeSet::new(),
-            pace: (shortest_aim(&settings) / PACES_PER_AIM).clamp(1_000, 10_000),
+            active_members: BTreeSet::new(),
+            groups_with_held: BTreeSet::new(),
+            min_round_gap: (shortest_latency_target(&settings) / PACES_PER_AIM).clamp(1_000, 10_000),
             connections_scarce_until: NEVER,
             probe_due: FOREVER,
-            timer: now,
-            resume_timer: NEVER,
+            next_round_at: now,
+            dispatch_timer: NEVER,
             stalled_until: now,
-            born: now,
-            served: (0.0, now),
-            warm: (1.0, NEVER),
-            merit: 0.0,
-            crowd: (0.0, now),
-            shares: vec![NEVER; settings.tenants.len()],
+            started_at: now,
+            recent_work: (0.0, now),
+            warm_weight: (1.0, NEVER),
+            mean_worth_per_work: 0.0,
+            primary_load: (0.0, now),
+            tenant_share_times: vec![NEVER; settings.tenants.len()],
             settings,
         }
     }
@@ -288,15 +288,15 @@
 
     /// Whether an open request exceeds its tenant's share.
     pub fn exceeds_share(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|r| r.share.is_none()) && !self.shares.is_empty()
+        self.requests.get(&id).is_some_and(|r| r.share.is_none()) && !self.tenant_share_times.is_empty()
     }
 
     /// Processes one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        let due = now >= self.timer;
+        let due = now >= self.next_round_at;
         // After a stall of the driver, everything that arrived meanwhile is delivered at once. Members must
         // not count as silent for the time of the stall.
-        if now > self.timer + self.settings.tick + self.pace {
+        if now > self.next_round_at + self.settings.tick + self.min_round_gap {
             self.stalled_until = now;
         }
         match event {
@@ -310,19 +310,19 @@
         }
         self.dispatch_resumed(now, actions);
         if due {
-            self.timer = FOREVER;
+            self.next_round_at = FOREVER;
             self.run_round(now, actions);
         }
         let next = self.next_round(now).max(now + 1);
-        if next < self.timer {
-            self.timer = next;
+        if next < self.next_round_at {
+            self.next_round_at = next;
             actions.push(Action::Timer { tag: TimerTag(0), at: next });
         }
         // This timer only dispatches and runs no full round, which would shed other held requests earlier
         // than planned.
         let resume = self.dispatch_due.first().map(|(at, _)| (*at).max(now + 1));
-        if let Some(at) = resume.filter(|at| *at != self.resume_timer) {
-            self.resume_timer = at;
+        if let Some(at) = resume.filter(|at| *at != self.dispatch_timer) {
+            self.dispatch_timer = at;
             actions.push(Action::Timer { tag: TimerTag(0), at });
         }
     }
@@ -330,15 +330,23 @@
     /// When the next round is due. With nothing to do no timer is set, so that an idle driver uses no CPU
     /// time; attempts in flight are checked about once per usual answer time.
     fn next_round(&self, now: Micros) -> Micros {
-        let aim = shortest_aim(&self.settings);
-        let held =
-            if self.holding.is_empty() { FOREVER } else { now + (aim / ROUNDS_PER_AIM).max(self.pace) };
-        let out = if self.due.is_empty() { FOREVER } else { now + self.fastest().max(self.pace) };
-        let (due, ask) = (self.due.first().map_or(FOREVER, |d| d.0), self.ask_at.unwrap_or(FOREVER));
+        let aim = shortest_latency_target(&self.settings);
+        let held = if self.groups_with_held.is_empty() {
+            FOREVER
+        } else {
+            now + (aim / ROUNDS_PER_AIM).max(self.min_round_gap)
+        };
+        let out = if self.deadlines.is_empty() {
+            FOREVER
+        } else {
+            now + self.shortest_work().max(self.min_round_gap)
+        };
+        let (due, ask) =
+            (self.deadlines.first().map_or(FOREVER, |d| d.0), self.next_list_call.unwrap_or(FOREVER));
         held.min(out).min(due).min(ask).min(self.probe_due)
     }
 
-    fn fastest(&self) -> Micros {
+    fn shortest_work(&self) -> Micros {
         self.work.iter().copied().fold(DECAY_US, f64::min) as Micros
     }
 
@@ -349,7 +357,7 @@
         };
         // A retry has the time that remains of its client's first try. Clients of a class wait for about the
         // same time, so the difference to the usual time tells when the first try began.
-        let (wait, usual) = ((deadline - now) as f64, &mut self.waits[class.0]);
+        let (wait, usual) = ((deadline - now) as f64, &mut self.client_waits[class.0]);
         *usual += if repeat { 0.0 } else { 0.05 * (wait - *usual) };
         let began = if repeat { now - (*usual - wait).clamp(0.0, c.deadline as f64) as Micros } else { now };
         let write = c.read == ReadLevel::Write;
@@ -361,18 +369,27 @@
         let share = self.take_share(now, arrival.tenant);
         self.sequence += 1;
         let sequence = if write { self.sequence } else { 0 };
-        let r = Request { class, group, bucket, arrived: now, began, deadline, need, ..Request::default() };
+        let r = Request {
+            class,
+            group,
+            bucket,
+            arrived: now,
+            first_sent: began,
+            deadline,
+            position_needed: need,
+            ..Request::default()
+        };
         let r = Request { checked, share, sequence, ..r };
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_TOKENS);
+        self.retry_tokens = (self.retry_tokens + RETRIES_PER_REQUEST).min(MAX_RETRY_TOKENS);
         let per_request = (PROBE_POINTS / self.settings.penalties.probe.max(PROBE_POINTS)).min(0.5);
-        self.probes = (self.probes + per_request).min(MAX_PROBE_TOKENS);
-        self.due.insert((deadline, id));
-        self.merit += 0.05 * (self.merit(now, &r) - self.merit);
+        self.probe_tokens = (self.probe_tokens + per_request).min(MAX_PROBE_TOKENS);
+        self.deadlines.insert((deadline, id));
+        self.mean_worth_per_work += 0.05 * (self.merit(now, &r) - self.mean_worth_per_work);
         self.requests.insert(id, r);
         self.hold(group, id);
-        if now - self.warm.1 > WARM_SUMMED_FOR {
+        if now - self.warm_weight.1 > WARM_SUMMED_FOR {
             let up = self.members.values().filter(|m| m.usable());
-            self.warm = (up.map(|m| m.entry.weight * self.share(now, m)).sum(), now);
+            self.warm_weight = (up.map(|m| m.entry.weight * self.share(now, m)).sum(), now);
         }
         self.dispatch(now, group, actions);
     }
@@ -382,7 +399,8 @@
     fn take_share(&mut self, now: Micros, tenant: Option<TenantId>) -> Option<(usize, Micros)> {
         let t = tenant?.0;
         let rate = self.settings.tenants.get(t)?.rate.max(1e-6) / f64::from(self.settings.fleet_size);
-        let (next, gap) = (self.shares.get_mut(t).filter(|next| **next <= now)?, (1e6 / rate) as Micros);
+        let (next, gap) =
+            (self.tenant_share_times.get_mut(t).filter(|next| **next <= now)?, (1e6 / rate) as Micros);
         *next = (*next).max(now - TENANT_BURST) + gap;
         Some((t, gap))
     }
@@ -421,7 +439,7 @@
         let r = &self.requests[&id];
         if last || r.answered {
             self.close(now, id, actions);
-        } else if r.out() == 0 {
+        } else if r.in_flight() == 0 {
             // A rejected attempt costs a member no work, and an error costs little at a member that is not
             // overloaded. All other retries use up the retry budget.
             let calm = self.members.get(&member).is_some_and(|m| m.strain <= CROWDED);
--- a/src/balance/candidates.rs
+++ b/src/balance/candidates.rs
@@ -44,7 +44,7 @@
             ReadLevel::Write | ReadLevel::Fresh => None,
             _ if r.primary_only => None,
             ReadLevel::Session if unsettled => None,
-            ReadLevel::Session => Some(r.need.unwrap_or(NEVER)),
+            ReadLevel::Session => Some(r.position_needed.unwrap_or(NEVER)),
             ReadLevel::Bounded(bound) => Some(now - bound),
             ReadLevel::Any => Some(NEVER),
         }
--- a/src/balance/concurrency.rs
+++ b/src/balance/concurrency.rs
@@ -33,8 +33,8 @@
     /// successful answers.
     pub(super) fn borne(&self, now: Micros) -> f64 {
         // A driver that started recently has seen only part of the time span that the decayed sum covers.
-        let seen = DECAY_US * (1.0 - (-((now - self.born).max(MIN_AGE) as f64) / DECAY_US).exp());
-        fade(self.served, now) / seen / self.warm.0.max(0.01)
+        let seen = DECAY_US * (1.0 - (-((now - self.started_at).max(MIN_AGE) as f64) / DECAY_US).exp());
+        fade(self.recent_work, now) / seen / self.warm_weight.0.max(0.01)
     }
 
     /// Whether a member may get another attempt. A limit below one is enforced by spacing attempts in time,
@@ -42,12 +42,15 @@
     pub(super) fn admits(&self, now: Micros, m: &Member, class: ClassId, merit: f64) -> bool {
         let limit = self.concurrency_limit(now, m);
         if limit >= 1.0 {
-            let low = merit < self.merit * LOW_WORTH;
+            let low = merit < self.mean_worth_per_work * LOW_WORTH;
             return (m.held().count() as f64) < if low { limit * LOW_WORTH_ROOM } else { limit };
         }
         let cold = self.share(now, m) < 1.0;
-        let ahead =
-            if cold { 0.0 } else { (merit / self.merit.max(1e-12) - 1.0).clamp(-1.0, MAX_TURNS_AHEAD) };
+        let ahead = if cold {
+            0.0
+        } else {
+            (merit / self.mean_worth_per_work.max(1e-12) - 1.0).clamp(-1.0, MAX_TURNS_AHEAD)
+        };
         let few = (m.held().count() as f64) < 1.0 + ahead.max(0.0);
         few && (now - m.turn) as f64 >= self.gap(now, class, m) * (1.0 - ahead)
     }
@@ -55,7 +58,7 @@
     /// Whether primaries in general are overloaded. In a large fleet a driver gets too few answers from a
     /// single primary to notice its overload in time.
     pub(super) fn crowded(&self, now: Micros) -> bool {
-        f64::from(self.settings.fleet_size) > INITIAL_WINDOW && fade(self.crowd, now) > CROWDED
+        f64::from(self.settings.fleet_size) > INITIAL_WINDOW && fade(self.primary_load, now) > CROWDED
     }
 
     /// Whether a primary has more room than the requests that only it can serve are likely to need.
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -58,7 +58,7 @@
             }
         }
         if self.groups.get(&group).is_none_or(|g| g.held.is_empty()) {
-            self.holding.remove(&group);
+            self.groups_with_held.remove(&group);
         }
     }
 
@@ -84,20 +84,22 @@
         r: &mut Request,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let Some(need) = self.need(now, r).filter(|n| *n > NEVER && r.out() == 0) else { return false };
-        if let Some(asked) = r.asked {
+        let Some(need) = self.need(now, r).filter(|n| *n > NEVER && r.in_flight() == 0) else { return false };
+        if let Some(asked) = r.probed_replica {
             let m = self.members.get(&asked);
             return m.and_then(|m| m.probing).is_some_and(|sent| now < self.waited_until(sent));
         }
         // Drawn at random among the replicas that are likely to be recent enough, so that not all drivers
         // probe the same one.
-        let old = |m: &Member| m.outlook(now, LAG_FADES_IN) >= need && now - m.heard_position > self.pace * 2;
+        let old = |m: &Member| {
+            m.outlook(now, LAG_FADES_IN) >= need && now - m.heard_position > self.min_round_gap * 2
+        };
         let likely = self.replicas(r.group, old);
         let Some(to) = self.rng.choice(&likely).copied() else { return false };
         if self.members[&to].probing.is_none() && !self.probe(now, to, actions) {
             return false;
         }
-        r.asked = Some(to);
+        r.probed_replica = Some(to);
         let asked_at = self.members[&to].probing.unwrap_or(now);
         self.dispatch_due.insert((self.waited_until(asked_at), id));
         true
@@ -105,14 +107,14 @@
 
     /// The time until which reads wait for a probe that was sent at `sent`.
     fn waited_until(&self, sent: Micros) -> Micros {
-        sent + self.pace * PROBE_WAIT_PACES / 2
+        sent + self.min_round_gap * PROBE_WAIT_PACES / 2
     }
 
     /// Worth per work. A late request counts with what it can still earn.
     pub(super) fn merit(&self, now: Micros, r: &Request) -> f64 {
         // Lateness is estimated by the work alone: a queue at the primary must not make its writes look late.
         let c = &self.settings.classes[r.class.0];
-        let late = now + self.work[r.class.0] as Micros > r.began + c.latency_target;
+        let late = now + self.work[r.class.0] as Micros > r.first_sent + c.latency_target;
         let share = r.share.map_or(self.settings.over_share_worth, |_| 1.0);
         c.worth * share * if late { c.late_worth } else { 1.0 } / self.work[r.class.0]
     }
@@ -120,8 +122,8 @@
     /// Whether the class's effect, the attempt limit and the settings permit another attempt in this zone.
     pub(super) fn may_send(&self, now: Micros, r: &Request, zone: ZoneId) -> bool {
         let allowed = &self.settings.allowed;
-        let doubt = r.doubt().map(|first| PossibleExecution {
-            sent_at: r.copied_from.map_or(first.sent, |at| at.min(first.sent)),
+        let doubt = r.first_uncertain().map(|first| PossibleExecution {
+            sent_at: r.uncertain_since.map_or(first.sent, |at| at.min(first.sent)),
             zone: Some(first.zone),
         });
         let request = RequestState {
@@ -131,7 +133,7 @@
             // When a client leaves, the driver reports it and the request is closed before.
             client_left: false,
             attempts_begun: r.attempts.len() as u32,
-            in_flight: r.out() as u32,
+            in_flight: r.in_flight() as u32,
             possible_execution: doubt,
             settled_at: r.settled_at,
         };
@@ -151,8 +153,8 @@
         let (Some(m), Some(r)) = (self.members.get_mut(&to), self.requests.get_mut(&id)) else { return };
         m.turn = if gap > 0 { now.max(m.turn + gap) } else { m.turn };
         m.busy = (fade(m.busy, now) + work, now);
-        self.watched.insert(to);
-        r.copied_from = r.copied_from.or(r.doubt().map(|a| a.sent));
+        self.active_members.insert(to);
+        r.uncertain_since = r.uncertain_since.or(r.first_uncertain().map(|a| a.sent));
         r.attempts.push(Attempt { zone: m.entry.zone, sent: now, ending: None });
         m.out.insert((now, id, attempt), r.class);
         if let (Some(b), true) = (r.bucket, r.sequence > 0) {
@@ -160,10 +162,11 @@
         }
         // A connection may stall while its member goes on serving, so a first attempt waits only as long as
         // nearly all answers take.
-        let tail = if m.strain > CROWDED { TIMEOUT_FACTORS.1 } else { self.tail };
+        let tail = if m.strain > CROWDED { TIMEOUT_FACTORS.1 } else { self.tail_factor };
         let patience = (work * m.slow.max(1.0) * tail) as Micros;
         let first = attempt == 0 && self.settings.classes[r.class.0].effect != Effect::Unsafe;
-        let timeout = if first { patience.max(self.pace).min(r.deadline - now) } else { r.deadline - now };
+        let timeout =
+            if first { patience.max(self.min_round_gap).min(r.deadline - now) } else { r.deadline - now };
         actions.push(Action::Send { request: id, member: to, timeout });
     }
 }
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -15,7 +15,7 @@
             ListKind::Full | ListKind::Incremental | ListKind::Saved => None,
         };
         if let Some(end) = end {
-            self.ask_at = Some(self.list_calls.failed(now, end, &mut self.rng));
+            self.next_list_call = Some(self.list_calls.failed(now, end, &mut self.rng));
             return;
         }
         if kind != ListKind::Saved {
@@ -48,7 +48,7 @@
         let left = self.members.iter().filter(|(_, m)| gone(m)).map(|(id, m)| (*id, m.entry.group));
         for (id, group) in left.collect::<Vec<_>>() {
             self.members.remove(&id);
-            self.watched.remove(&id);
+            self.active_members.remove(&id);
             self.leave(id, group);
         }
     }
@@ -83,7 +83,7 @@
         // Drivers that learn of a start at the same time must not all send to the member at once, so the
         // first slot is drawn at random.
         if let (true, Some(m)) = (started, self.members.get(&id)) {
-            let gap = self.fastest() as f64 / self.concurrency_limit(now, m);
+            let gap = self.shortest_work() as f64 / self.concurrency_limit(now, m);
             let drawn = (self.rng.f64() * gap.min(DECAY_US)) as Micros;
             self.members.entry(id).and_modify(|m| m.turn = now - drawn);
         }
--- a/src/balance/outcome.rs
+++ b/src/balance/outcome.rs
@@ -20,8 +20,8 @@
         let primary = self.groups.get(&m.entry.group).is_some_and(|g| g.primary == Some(id));
         if primary && (late || matches!(ending, Ending::Ok | Ending::Full)) {
             let told = if ending == Ending::Full { 1.0 } else { share.min(2.0) };
-            let fresh = (1.0 - ((self.crowd.1 - now) as f64 / DENSE_ANSWERS as f64).exp()).max(0.1);
-            self.crowd = (self.crowd.0 + fresh * (told - self.crowd.0), now);
+            let fresh = (1.0 - ((self.primary_load.1 - now) as f64 / DENSE_ANSWERS as f64).exp()).max(0.1);
+            self.primary_load = (self.primary_load.0 + fresh * (told - self.primary_load.0), now);
         }
         // The time that this result stands for: rarer results get a larger weight, limited to a few seconds'
         // worth.
@@ -31,16 +31,17 @@
             m.heard = now;
         }
         let least = (m.weight() * borne * MIN_WINDOW_SHARE).max((MIN_FLEET_WINDOW / fleet).min(1.0));
-        let (ratio, lately) = (elapsed as f64 / self.work[class.0], now - self.pace * PROBE_GAP_PACES);
-        if ending == Ending::ConnectFailed && elapsed < self.pace * PROBE_GAP_PACES {
+        let (ratio, lately) =
+            (elapsed as f64 / self.work[class.0], now - self.min_round_gap * PROBE_GAP_PACES);
+        if ending == Ending::ConnectFailed && elapsed < self.min_round_gap * PROBE_GAP_PACES {
             m.refused = (fade(m.refused, now) + 1.0, now);
         }
         match ending {
             Ending::Ok => {
-                self.served = (fade(self.served, now) + self.work[class.0], now);
+                self.recent_work = (fade(self.recent_work, now) + self.work[class.0], now);
                 m.recover(now);
-                let long = ratio / m.slow.max(1.0) > self.tail;
-                self.tail = (self.tail + if long { 2.0 } else { -2.0 * TAIL_SHARE })
+                let long = ratio / m.slow.max(1.0) > self.tail_factor;
+                self.tail_factor = (self.tail_factor + if long { 2.0 } else { -2.0 * TAIL_SHARE })
                     .clamp(TIMEOUT_FACTORS.0, TIMEOUT_FACTORS.1);
                 m.errors *= 0.9 - 0.2 * fresh;
                 m.slow += (0.2 * fresh).max(0.05) * (ratio - m.slow);
@@ -52,10 +53,10 @@
             Ending::Miss => m.recover(now),
             Ending::Full => {
                 m.cut(now, 0.7, least);
-                (m.turn, m.pause) = (now, now + self.pace * PROBE_GAP_PACES / 2);
+                (m.turn, m.pause) = (now, now + self.min_round_gap * PROBE_GAP_PACES / 2);
             }
             Ending::ConnectFailed if now < self.connections_scarce_until => {
-                m.pause = now + self.pace * PROBE_GAP_PACES
+                m.pause = now + self.min_round_gap * PROBE_GAP_PACES
             }
             // Single connections may break while the process goes on serving. The member is suspected if
             // another one breaks before it answers again.
@@ -64,7 +65,9 @@
             }
             // A member that is down refuses connections at once. One that does not respond is unreachable and
             // need not have restarted.
-            Ending::ConnectFailed => self.mark_suspect(now, id, elapsed < self.pace * PROBE_GAP_PACES),
+            Ending::ConnectFailed => {
+                self.mark_suspect(now, id, elapsed < self.min_round_gap * PROBE_GAP_PACES)
+            }
             Ending::Reset => self.mark_suspect(now, id, true),
             // The attempt ended at its deadline, so its answer would have taken at least this long.
             Ending::Timeout | Ending::Cancelled => {
@@ -83,11 +86,13 @@
         let Some(m) = self.members.get_mut(&id) else { return };
         if !m.suspect {
             (m.suspect, m.down, m.ill_since, m.probe_due) =
-                (true, false, now, now + self.pace * PROBE_GAP_PACES);
+                (true, false, now, now + self.min_round_gap * PROBE_GAP_PACES);
         }
         m.down |= down;
         for id in m.out.keys().map(|k| k.1).collect::<Vec<_>>() {
-            let Some(r) = self.requests.get(&id).filter(|r| !r.answered && r.out() == 1) else { continue };
+            let Some(r) = self.requests.get(&id).filter(|r| !r.answered && r.in_flight() == 1) else {
+                continue;
+            };
             let (group, zone) = (r.group, self.repeat_zone(r));
             if self.may_send(now, r, zone) && self.spend_retry() {
                 self.hold(group, id);
@@ -98,19 +103,19 @@
     /// The zone in which another attempt is most likely to be permitted: that of the first attempt that may
     /// have executed.
     fn repeat_zone(&self, r: &Request) -> ZoneId {
-        r.doubt().map_or(self.settings.zone, |first| first.zone)
+        r.first_uncertain().map_or(self.settings.zone, |first| first.zone)
     }
 
     /// Queues a request until a member has room for it.
     pub(super) fn hold(&mut self, group: GroupId, id: RequestId) {
         self.groups.entry(group).or_default().held.insert(id);
-        self.holding.insert(group);
+        self.groups_with_held.insert(group);
     }
 
     /// Takes a token from the retry budget; returns `false` if none is left.
     pub(super) fn spend_retry(&mut self) -> bool {
-        let enough = self.retries >= 1.0;
-        self.retries -= if enough { 1.0 } else { 0.0 };
+        let enough = self.retry_tokens >= 1.0;
+        self.retry_tokens -= if enough { 1.0 } else { 0.0 };
         enough
     }
 
@@ -141,9 +146,11 @@
     pub(super) fn give_up(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
         r.answered = true;
-        r.share.iter().for_each(|(t, gap)| self.shares[*t] -= gap);
+        r.share.iter().for_each(|(t, gap)| self.tenant_share_times[*t] -= gap);
         let effect = self.settings.classes[r.class.0].effect;
-        if r.doubt().is_none() || matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. }) {
+        if r.first_uncertain().is_none()
+            || matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. })
+        {
             let a = &self.settings.allowed;
             let hold = brief_hold(&self.settings.classes[r.class.0]);
             let retry_after = a.retry_after.then_some(hold.min(a.max_retry_after));
@@ -157,7 +164,7 @@
     /// Ends a request: cancels the attempts in flight and marks its bucket's write as settled.
     pub(super) fn close(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let first = self.due.remove(&(r.deadline, id));
+        let first = self.deadlines.remove(&(r.deadline, id));
         if let Some(at) = r.settled_at {
             self.dispatch_due.remove(&(at, id));
         }
@@ -166,7 +173,7 @@
         let cancel = first && self.settings.allowed.cancel;
         let out = r.attempts.iter().zip(0..).filter(|(a, _)| cancel && a.ending.is_none());
         actions.extend(out.map(|(_, attempt)| Action::Cancel { request: id, attempt }));
-        if r.out() > 0 {
+        if r.in_flight() > 0 {
             return;
         }
         // A write whose answer was lost must not block its bucket's reads forever: replicas whose position is
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -119,7 +119,7 @@
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// Maximum number of attempts by the settings.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether the settings allow two attempts in flight.
     pub second_copies: bool,
 }
@@ -139,7 +139,7 @@
             self.others_in_flight > 0 || self.settled_at.is_some_and(|settled| self.at < settled);
         let found = [
             (Rule::OneAttempt, another_in_flight && !self.second_copies),
-            (Rule::AttemptLimit, self.attempt >= self.attempts),
+            (Rule::AttemptLimit, self.attempt >= self.max_attempts),
             (Rule::Repeat, repeated),
             (Rule::ClientLeft, left_before),
             (Rule::RemainingTimeSent, too_much_time_sent),
--- a/tests/permission.rs
+++ b/tests/permission.rs
@@ -195,7 +195,7 @@
         settled_at: None,
         others_in_flight: 0,
         attempt: 0,
-        attempts: 3,
+        max_attempts: 3,
         second_copies: false,
     };
     assert_eq!(sound.violations(), []);
