--- a/src/balance.rs
+++ b/src/balance.rs
@@ -282,7 +282,7 @@
     /// Counts the known members, the listed ones and those that get no new attempts.
     pub fn member_counts(&self) -> MemberCounts {
         let listed = self.members.values().filter(|m| m.entry.phase != Phase::Removed);
-        let avoided = listed.clone().filter(|m| !m.usable()).count();
+        let avoided = listed.clone().filter(|m| !m.is_usable()).count();
         MemberCounts { known: self.members.len(), listed: listed.count(), unavailable: avoided }
     }
 
@@ -384,12 +384,12 @@
         let per_request = (PROBE_POINTS / self.settings.penalties.probe.max(PROBE_POINTS)).min(0.5);
         self.probe_tokens = (self.probe_tokens + per_request).min(MAX_PROBE_TOKENS);
         self.deadlines.insert((deadline, id));
-        self.mean_worth_per_work += 0.05 * (self.merit(now, &r) - self.mean_worth_per_work);
+        self.mean_worth_per_work += 0.05 * (self.worth_per_work(now, &r) - self.mean_worth_per_work);
         self.requests.insert(id, r);
         self.hold(group, id);
         if now - self.warm_weight.1 > WARM_SUMMED_FOR {
-            let up = self.members.values().filter(|m| m.usable());
-            self.warm_weight = (up.map(|m| m.entry.weight * self.share(now, m)).sum(), now);
+            let up = self.members.values().filter(|m| m.is_usable());
+            self.warm_weight = (up.map(|m| m.entry.weight * self.capacity_share(now, m)).sum(), now);
         }
         self.dispatch(now, group, actions);
     }
@@ -425,10 +425,11 @@
         let (sent, class, group) = (a.sent, r.class, r.group);
         let (bucket, sequence) = (r.bucket.filter(|_| write && ending == Ending::Ok), r.sequence);
         if let Some(m) = self.members.get_mut(&member) {
-            m.out.remove(&(sent, id, attempt));
+            m.in_flight.remove(&(sent, id, attempt));
         }
         self.update_health(now, &outcome, class);
-        if now < self.connections_scarce_until && self.members.get(&member).is_some_and(|m| m.out.is_empty())
+        if now < self.connections_scarce_until
+            && self.members.get(&member).is_some_and(|m| m.in_flight.is_empty())
         {
             actions.push(Action::Close { member });
         }
@@ -442,7 +443,7 @@
         } else if r.in_flight() == 0 {
             // A rejected attempt costs a member no work, and an error costs little at a member that is not
             // overloaded. All other retries use up the retry budget.
-            let calm = self.members.get(&member).is_some_and(|m| m.strain <= CROWDED);
+            let calm = self.members.get(&member).is_some_and(|m| m.load <= CROWDED);
             let free = write && ending.never_ran() || calm && ending == Ending::Error;
             self.retry_or_give_up(now, id, ending, free || ending == Ending::Miss, actions);
         }
@@ -452,15 +453,15 @@
     fn on_probed(&mut self, now: Micros, probed: Probed, actions: &mut Vec<Action>) {
         let Probed { member: id, ending, elapsed, report } = probed;
         let Some(m) = self.members.get_mut(&id) else { return };
-        m.probing = None;
+        m.probe_sent_at = None;
         let group = m.entry.group;
         if ending == Ending::Ok {
             // The member refused connections and yet is running, too soon to have restarted: its connection
             // table is full of idle connections.
             if m.suspect
-                && m.down
-                && now - m.ill_since < RESTART_TAKES
-                && fade(m.refused, now) > REFUSED_CONNECTS_TOLERATED
+                && m.refuses_connections
+                && now - m.health_changed_at < RESTART_TAKES
+                && fade(m.refused_connects, now) > REFUSED_CONNECTS_TOLERATED
             {
                 self.connections_scarce_until = now + DECAY_US as Micros;
             }
--- a/src/balance/candidates.rs
+++ b/src/balance/candidates.rs
@@ -18,7 +18,7 @@
         let Some(m) = self.members.get_mut(&id) else { return };
         if let Some(p) = told.position {
             m.position = m.position.max(p);
-            m.heard_position = now;
+            m.position_reported_at = now;
         }
         let group = m.entry.group;
         let Some(primary) = told.primary else { return };
@@ -38,7 +38,7 @@
     }
 
     /// The position that a replica must have reached to serve the request; `None` if only the primary can.
-    pub(super) fn need(&self, now: Micros, r: &Request) -> Option<Micros> {
+    pub(super) fn required_position(&self, now: Micros, r: &Request) -> Option<Micros> {
         let unsettled = r.bucket.is_some_and(|b| self.buckets[b].open.is_some());
         match self.settings.classes[r.class.0].read {
             ReadLevel::Write | ReadLevel::Fresh => None,
@@ -53,9 +53,9 @@
     /// The members that may serve the request now: suitable replicas, or else the primary.
     pub(super) fn eligible(&self, now: Micros, r: &Request) -> Vec<MemberId> {
         let primary = self.groups.get(&r.group).and_then(|g| g.primary);
-        let primary = primary.filter(|p| self.members.get(p).is_some_and(Member::usable));
+        let primary = primary.filter(|p| self.members.get(p).is_some_and(Member::is_usable));
         let c = &self.settings.classes[r.class.0];
-        let mut found = match self.need(now, r) {
+        let mut found = match self.required_position(now, r) {
             Some(need) => self.replicas(r.group, |m| m.position >= need),
             // While no primary is known, a write tries replicas until its deadline: a member that is not the
             // primary rejects it at no cost, and the rejection tells the member's role.
@@ -69,8 +69,9 @@
         // have caught up by now: a rejected attempt costs little.
         let slack = self.settings.lag_policy.tolerated_lag().filter(|_| r.checked);
         for past in [FOREVER, LAG_FADES_IN] {
-            if let (true, Some(need), Some(slack)) = (found.is_empty(), self.need(now, r), slack) {
-                found = self.replicas(r.group, |m| m.outlook(now, past) + slack >= need);
+            if let (true, Some(need), Some(slack)) = (found.is_empty(), self.required_position(now, r), slack)
+            {
+                found = self.replicas(r.group, |m| m.estimated_position(now, past) + slack >= need);
             }
         }
         found.extend(primary.filter(|_| found.is_empty()));
@@ -79,7 +80,7 @@
 
     pub(super) fn replicas(&self, group: GroupId, fit: impl Fn(&Member) -> bool) -> Vec<MemberId> {
         let Some(g) = self.groups.get(&group) else { return Vec::new() };
-        let fits = |id: &&MemberId| self.members.get(id).is_some_and(|m| m.usable() && fit(m));
+        let fits = |id: &&MemberId| self.members.get(id).is_some_and(|m| m.is_usable() && fit(m));
         g.members.iter().filter(|id| Some(**id) != g.primary).filter(fits).copied().collect()
     }
 
@@ -93,13 +94,13 @@
         among: &[MemberId],
     ) -> Option<MemberId> {
         let weigh = |m: &Member| {
-            let errors = m.errors * (-((now - m.heard) as f64) / DECAY_US).exp();
+            let errors = m.failure_rate * (-((now - m.heard) as f64) / DECAY_US).exp();
             let errors = if errors > ERROR_SHARE_LIMIT { 0.02 } else { 1.0 - errors };
-            m.weight() * self.share(now, m) * errors / m.slow.max(0.2)
+            m.weight() * self.capacity_share(now, m) * errors / m.relative_latency.max(0.2)
         };
         let open = among.iter().filter_map(|id| self.members.get(id).map(|m| (*id, m)));
-        let open = open.filter(|(_, m)| now >= m.pause && self.admits(now, m, class, merit));
-        let open: Vec<_> = open.map(|(id, m)| (weigh(m), m.out.len(), id)).collect();
+        let open = open.filter(|(_, m)| now >= m.paused_until && self.admits(now, m, class, merit));
+        let open: Vec<_> = open.map(|(id, m)| (weigh(m), m.in_flight.len(), id)).collect();
         let mut lots: Vec<_> = open.iter().map(|o| (-self.rng.f64().max(1e-12).ln() / o.0, o)).collect();
         lots.sort_by(|a, b| a.0.total_cmp(&b.0));
         let load = |o: &(f64, usize, MemberId)| o.1 as f64 / o.0;
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -16,7 +16,8 @@
         let primary = g.primary;
         let requests = g.held.iter().filter_map(|id| self.requests.get(id).map(|r| (*id, r)));
         let requests = requests.filter(|(_, r)| r.is_settled(now));
-        let mut held: Vec<_> = requests.map(|(id, r)| (self.merit(now, r), (r.arrived, id))).collect();
+        let mut held: Vec<_> =
+            requests.map(|(id, r)| (self.worth_per_work(now, r), (r.arrived, id))).collect();
         // Of equal requests the newest comes first: under overload it has the most time left.
         held.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
         let mut full = BTreeSet::new();
@@ -33,7 +34,8 @@
             // While primaries are overloaded, reads that could fall back on the primary leave it to requests
             // that only it can serve.
             let read = self.settings.classes[r.class.0].read;
-            let off = matches!(read, ReadLevel::Bounded(_) | ReadLevel::Any) && self.crowded(now);
+            let off =
+                matches!(read, ReadLevel::Bounded(_) | ReadLevel::Any) && self.primaries_overloaded(now);
             if lone && (self.wait_for_probe(now, id, &mut r, actions) || off) {
                 self.requests.insert(id, r);
                 continue;
@@ -43,7 +45,9 @@
             let mut target = self.pick(now, r.class, worth, &among);
             // If the replicas have no room, a primary with room to spare takes reads too. Otherwise the few
             // replicas that are recent enough would be overloaded.
-            if let (None, false, Some(p)) = (target, lone, primary.filter(|p| self.spares(now, *p))) {
+            if let (None, false, Some(p)) =
+                (target, lone, primary.filter(|p| self.has_room_to_spare(now, *p)))
+            {
                 target = self.pick(now, r.class, worth / 2.0, &[p]);
             }
             // Session reads are not skipped, since they differ in the position they need.
@@ -84,34 +88,37 @@
         r: &mut Request,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let Some(need) = self.need(now, r).filter(|n| *n > NEVER && r.in_flight() == 0) else { return false };
+        let Some(need) = self.required_position(now, r).filter(|n| *n > NEVER && r.in_flight() == 0) else {
+            return false;
+        };
         if let Some(asked) = r.probed_replica {
             let m = self.members.get(&asked);
-            return m.and_then(|m| m.probing).is_some_and(|sent| now < self.waited_until(sent));
+            return m.and_then(|m| m.probe_sent_at).is_some_and(|sent| now < self.probe_wait_end(sent));
         }
         // Drawn at random among the replicas that are likely to be recent enough, so that not all drivers
         // probe the same one.
         let old = |m: &Member| {
-            m.outlook(now, LAG_FADES_IN) >= need && now - m.heard_position > self.min_round_gap * 2
+            m.estimated_position(now, LAG_FADES_IN) >= need
+                && now - m.position_reported_at > self.min_round_gap * 2
         };
         let likely = self.replicas(r.group, old);
         let Some(to) = self.rng.choice(&likely).copied() else { return false };
-        if self.members[&to].probing.is_none() && !self.probe(now, to, actions) {
+        if self.members[&to].probe_sent_at.is_none() && !self.probe(now, to, actions) {
             return false;
         }
         r.probed_replica = Some(to);
-        let asked_at = self.members[&to].probing.unwrap_or(now);
-        self.dispatch_due.insert((self.waited_until(asked_at), id));
+        let asked_at = self.members[&to].probe_sent_at.unwrap_or(now);
+        self.dispatch_due.insert((self.probe_wait_end(asked_at), id));
         true
     }
 
     /// The time until which reads wait for a probe that was sent at `sent`.
-    fn waited_until(&self, sent: Micros) -> Micros {
+    fn probe_wait_end(&self, sent: Micros) -> Micros {
         sent + self.min_round_gap * PROBE_WAIT_PACES / 2
     }
 
     /// Worth per work. A late request counts with what it can still earn.
-    pub(super) fn merit(&self, now: Micros, r: &Request) -> f64 {
+    pub(super) fn worth_per_work(&self, now: Micros, r: &Request) -> f64 {
         // Lateness is estimated by the work alone: a queue at the primary must not make its writes look late.
         let c = &self.settings.classes[r.class.0];
         let late = now + self.work[r.class.0] as Micros > r.first_sent + c.latency_target;
@@ -149,21 +156,25 @@
         let Some(r) = self.requests.get(&id) else { return };
         let (attempt, work) = (r.attempts.len() as u32, self.work[r.class.0]);
         let Some(m) = self.members.get(&to) else { return };
-        let gap = if self.concurrency_limit(now, m) < 1.0 { self.gap(now, r.class, m) as Micros } else { 0 };
+        let gap = if self.concurrency_limit(now, m) < 1.0 {
+            self.send_interval(now, r.class, m) as Micros
+        } else {
+            0
+        };
         let (Some(m), Some(r)) = (self.members.get_mut(&to), self.requests.get_mut(&id)) else { return };
-        m.turn = if gap > 0 { now.max(m.turn + gap) } else { m.turn };
-        m.busy = (fade(m.busy, now) + work, now);
+        m.last_slot = if gap > 0 { now.max(m.last_slot + gap) } else { m.last_slot };
+        m.work_sent = (fade(m.work_sent, now) + work, now);
         self.active_members.insert(to);
         r.uncertain_since = r.uncertain_since.or(r.first_uncertain().map(|a| a.sent));
         r.attempts.push(Attempt { zone: m.entry.zone, sent: now, ending: None });
-        m.out.insert((now, id, attempt), r.class);
+        m.in_flight.insert((now, id, attempt), r.class);
         if let (Some(b), true) = (r.bucket, r.sequence > 0) {
             self.buckets[b].open = self.buckets[b].open.max(Some(r.sequence));
         }
         // A connection may stall while its member goes on serving, so a first attempt waits only as long as
         // nearly all answers take.
-        let tail = if m.strain > CROWDED { TIMEOUT_FACTORS.1 } else { self.tail_factor };
-        let patience = (work * m.slow.max(1.0) * tail) as Micros;
+        let tail = if m.load > CROWDED { TIMEOUT_FACTORS.1 } else { self.tail_factor };
+        let patience = (work * m.relative_latency.max(1.0) * tail) as Micros;
         let first = attempt == 0 && self.settings.classes[r.class.0].effect != Effect::Unsafe;
         let timeout =
             if first { patience.max(self.min_round_gap).min(r.deadline - now) } else { r.deadline - now };
--- a/src/balance/list_calls.rs
+++ b/src/balance/list_calls.rs
@@ -34,8 +34,8 @@
     broken: u32,
     asked_at: Micros,
     /// Whether a list has arrived since the latest failure.
-    heard: bool,
-    first_wait: Micros,
+    list_received: bool,
+    initial_backoff: Micros,
 }
 
 impl ListCalls {
@@ -44,22 +44,28 @@
     pub(super) fn new(now: Micros, fleet: u32) -> Self {
         let spread = i64::from(fleet) * 1_000_000 / FLEET_CALLS_PER_SECOND;
         let first_wait = spread.clamp(FIRST_WAIT, LONGEST_WAIT);
-        ListCalls { failures: MOST_DOUBLINGS, broken: 0, asked_at: now, heard: false, first_wait }
+        ListCalls {
+            failures: MOST_DOUBLINGS,
+            broken: 0,
+            asked_at: now,
+            list_received: false,
+            initial_backoff: first_wait,
+        }
     }
 
     /// Records that a call is made.
-    pub(super) fn asked(&mut self, now: Micros) {
+    pub(super) fn call_made(&mut self, now: Micros) {
         self.asked_at = now;
     }
 
     /// Records that a list has arrived.
     pub(super) fn heard(&mut self) {
-        self.heard = true;
+        self.list_received = true;
     }
 
     /// Records that the call has ended and returns when to make the next one.
-    pub(super) fn failed(&mut self, now: Micros, end: CallEnd, rng: &mut fastrand::Rng) -> Micros {
-        let sound = std::mem::take(&mut self.heard) && now - self.asked_at >= STABLE_AFTER;
+    pub(super) fn call_ended(&mut self, now: Micros, end: CallEnd, rng: &mut fastrand::Rng) -> Micros {
+        let sound = std::mem::take(&mut self.list_received) && now - self.asked_at >= STABLE_AFTER;
         if sound {
             (self.failures, self.broken) = (0, 0);
         }
@@ -68,10 +74,10 @@
         let quick = sound || end == CallEnd::Broken && self.broken < QUICK_CALLS;
         self.broken += u32::from(end == CallEnd::Broken);
         if quick {
-            return now + rng.i64(0..self.first_wait);
+            return now + rng.i64(0..self.initial_backoff);
         }
         self.failures = (self.failures + 1).min(MOST_DOUBLINGS);
-        let most = (self.first_wait << self.failures).min(LONGEST_WAIT);
+        let most = (self.initial_backoff << self.failures).min(LONGEST_WAIT);
         now + rng.i64(most / 2..most)
     }
 }
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -15,7 +15,7 @@
             ListKind::Full | ListKind::Incremental | ListKind::Saved => None,
         };
         if let Some(end) = end {
-            self.next_list_call = Some(self.list_calls.failed(now, end, &mut self.rng));
+            self.next_list_call = Some(self.list_calls.call_ended(now, end, &mut self.rng));
             return;
         }
         if kind != ListKind::Saved {
@@ -25,11 +25,11 @@
             let listed: BTreeSet<_> = entries.iter().map(|e| e.member).collect();
             let stay = self.settings.rules.delisted_stay_open;
             for (_, m) in self.members.iter_mut().filter(|(id, _)| !stay && !listed.contains(id)) {
-                (m.barred, m.entry.phase) = (true, Phase::Removed);
+                (m.closed_by_list, m.entry.phase) = (true, Phase::Removed);
             }
         }
-        entries.into_iter().for_each(|entry| self.list(now, entry));
-        self.forget();
+        entries.into_iter().for_each(|entry| self.apply_entry(now, entry));
+        self.forget_removed();
     }
 
     /// Holds a member out or readmits it. A readmitted member has restarted: it is not a suspect, counts as
@@ -37,41 +37,41 @@
     pub(super) fn on_maintenance(&mut self, now: Micros, id: MemberId, out: bool) {
         let Some(m) = self.members.get_mut(&id) else { return };
         if std::mem::replace(&mut m.held_out, out) && !out {
-            (m.suspect, m.entry.since, m.turn) = (false, m.entry.since.max(Some(now)), NEVER);
+            (m.suspect, m.entry.since, m.last_slot) = (false, m.entry.since.max(Some(now)), NEVER);
         }
     }
 
     /// Forgets removed members without attempts in flight. Members come and go during a driver's life, so
     /// their state must not accumulate.
-    pub(super) fn forget(&mut self) {
-        let gone = |m: &Member| m.barred && m.entry.phase == Phase::Removed && m.out.is_empty();
+    pub(super) fn forget_removed(&mut self) {
+        let gone = |m: &Member| m.closed_by_list && m.entry.phase == Phase::Removed && m.in_flight.is_empty();
         let left = self.members.iter().filter(|(_, m)| gone(m)).map(|(id, m)| (*id, m.entry.group));
         for (id, group) in left.collect::<Vec<_>>() {
             self.members.remove(&id);
             self.active_members.remove(&id);
-            self.leave(id, group);
+            self.remove_from_group(id, group);
         }
     }
 
-    pub(super) fn leave(&mut self, id: MemberId, group: GroupId) {
+    pub(super) fn remove_from_group(&mut self, id: MemberId, group: GroupId) {
         let g = self.groups.entry(group).or_default();
         g.members.remove(&id);
         g.primary = g.primary.filter(|p| *p != id);
     }
 
-    pub(super) fn list(&mut self, now: Micros, entry: Entry) {
+    pub(super) fn apply_entry(&mut self, now: Micros, entry: Entry) {
         let (id, group) = (entry.member, entry.group);
         // A member that was rebuilt under its old name in another group has none of its former group's data.
         if let Some(former) = self.members.get(&id).map(|m| m.entry.group).filter(|former| *former != group) {
-            self.leave(id, former);
-            self.members.entry(id).and_modify(Member::forget_data);
+            self.remove_from_group(id, former);
+            self.members.entry(id).and_modify(Member::reset_replication_state);
         }
         let g = self.groups.entry(group).or_default();
         g.members.insert(id);
         let fresh = Entry { since: None, ..entry.clone() };
         let m = self.members.entry(id).or_insert_with(|| Member::new(fresh, self.settings.fleet_size));
-        let binds = m.barred || !self.settings.rules.delisted_stay_open;
-        m.barred = entry.phase == Phase::Draining || entry.phase == Phase::Removed && binds;
+        let binds = m.closed_by_list || !self.settings.rules.delisted_stay_open;
+        m.closed_by_list = entry.phase == Phase::Draining || entry.phase == Phase::Removed && binds;
         let started = entry.since > m.entry.since;
         m.entry = Entry { since: entry.since.max(m.entry.since), ..entry };
         // The list may be outdated: it determines the primary only if no report of a member contradicts it.
@@ -85,7 +85,7 @@
         if let (true, Some(m)) = (started, self.members.get(&id)) {
             let gap = self.shortest_work() as f64 / self.concurrency_limit(now, m);
             let drawn = (self.rng.f64() * gap.min(DECAY_US)) as Micros;
-            self.members.entry(id).and_modify(|m| m.turn = now - drawn);
+            self.members.entry(id).and_modify(|m| m.last_slot = now - drawn);
         }
     }
 }
--- a/src/balance/outcome.rs
+++ b/src/balance/outcome.rs
@@ -12,7 +12,7 @@
     /// Updates the member's failure rate, answer times and concurrency window from the result of an attempt.
     pub(super) fn update_health(&mut self, now: Micros, outcome: &Outcome, class: ClassId) {
         let Outcome { member: id, ending, elapsed, .. } = *outcome;
-        let (borne, fleet) = (self.borne(now), f64::from(self.settings.fleet_size.max(1)));
+        let (borne, fleet) = (self.mean_concurrency(now), f64::from(self.settings.fleet_size.max(1)));
         let share = elapsed as f64 / (self.settings.classes[class.0].latency_target as f64).max(1.0);
         let Some(m) = self.members.get_mut(&id) else { return };
         // If the client waited only briefly, a timeout says little about the member.
@@ -34,34 +34,34 @@
         let (ratio, lately) =
             (elapsed as f64 / self.work[class.0], now - self.min_round_gap * PROBE_GAP_PACES);
         if ending == Ending::ConnectFailed && elapsed < self.min_round_gap * PROBE_GAP_PACES {
-            m.refused = (fade(m.refused, now) + 1.0, now);
+            m.refused_connects = (fade(m.refused_connects, now) + 1.0, now);
         }
         match ending {
             Ending::Ok => {
                 self.recent_work = (fade(self.recent_work, now) + self.work[class.0], now);
                 m.recover(now);
-                let long = ratio / m.slow.max(1.0) > self.tail_factor;
+                let long = ratio / m.relative_latency.max(1.0) > self.tail_factor;
                 self.tail_factor = (self.tail_factor + if long { 2.0 } else { -2.0 * TAIL_SHARE })
                     .clamp(TIMEOUT_FACTORS.0, TIMEOUT_FACTORS.1);
-                m.errors *= 0.9 - 0.2 * fresh;
-                m.slow += (0.2 * fresh).max(0.05) * (ratio - m.slow);
+                m.failure_rate *= 0.9 - 0.2 * fresh;
+                m.relative_latency += (0.2 * fresh).max(0.05) * (ratio - m.relative_latency);
                 m.strain(now, elapsed, share, age, least);
-                let rise = if m.strain > CROWDED { 0.0 } else { 0.03 };
+                let rise = if m.load > CROWDED { 0.0 } else { 0.03 };
                 self.work[class.0] *= 1.0 + if ratio < 1.0 { -0.03 } else { rise };
             }
-            Ending::Error => m.errors += (0.5 * fresh).max(0.1) * (1.0 - m.errors),
+            Ending::Error => m.failure_rate += (0.5 * fresh).max(0.1) * (1.0 - m.failure_rate),
             Ending::Miss => m.recover(now),
             Ending::Full => {
-                m.cut(now, 0.7, least);
-                (m.turn, m.pause) = (now, now + self.min_round_gap * PROBE_GAP_PACES / 2);
+                m.shrink_window(now, 0.7, least);
+                (m.last_slot, m.paused_until) = (now, now + self.min_round_gap * PROBE_GAP_PACES / 2);
             }
             Ending::ConnectFailed if now < self.connections_scarce_until => {
-                m.pause = now + self.min_round_gap * PROBE_GAP_PACES
+                m.paused_until = now + self.min_round_gap * PROBE_GAP_PACES
             }
             // Single connections may break while the process goes on serving. The member is suspected if
             // another one breaks before it answers again.
-            Ending::ConnectFailed | Ending::Reset if m.heard > m.last_broken.max(lately) => {
-                m.last_broken = now
+            Ending::ConnectFailed | Ending::Reset if m.heard > m.connection_broken_at.max(lately) => {
+                m.connection_broken_at = now
             }
             // A member that is down refuses connections at once. One that does not respond is unreachable and
             // need not have restarted.
@@ -71,7 +71,7 @@
             Ending::Reset => self.mark_suspect(now, id, true),
             // The attempt ended at its deadline, so its answer would have taken at least this long.
             Ending::Timeout | Ending::Cancelled => {
-                m.slow += (0.2 * fresh).max(0.05) * (ratio - m.slow).max(0.0);
+                m.relative_latency += (0.2 * fresh).max(0.05) * (ratio - m.relative_latency).max(0.0);
                 if late {
                     m.strain(now, elapsed, share, age, least);
                 }
@@ -85,11 +85,11 @@
     pub(super) fn mark_suspect(&mut self, now: Micros, id: MemberId, down: bool) {
         let Some(m) = self.members.get_mut(&id) else { return };
         if !m.suspect {
-            (m.suspect, m.down, m.ill_since, m.probe_due) =
+            (m.suspect, m.refuses_connections, m.health_changed_at, m.probe_due) =
                 (true, false, now, now + self.min_round_gap * PROBE_GAP_PACES);
         }
-        m.down |= down;
-        for id in m.out.keys().map(|k| k.1).collect::<Vec<_>>() {
+        m.refuses_connections |= down;
+        for id in m.in_flight.keys().map(|k| k.1).collect::<Vec<_>>() {
             let Some(r) = self.requests.get(&id).filter(|r| !r.answered && r.in_flight() == 1) else {
                 continue;
             };
--- a/src/balance/periodic.rs
+++ b/src/balance/periodic.rs
@@ -18,14 +18,14 @@
         self.probe_suspects(now, actions);
         self.ask_for_list(now, actions);
         self.groups_with_held.clone().into_iter().for_each(|group| self.dispatch(now, group, actions));
-        let active = |m: &Member| !m.out.is_empty() || m.suspect || now - m.heard <= ACTIVE_FOR;
+        let active = |m: &Member| !m.in_flight.is_empty() || m.suspect || now - m.heard <= ACTIVE_FOR;
         self.active_members.retain(|id| self.members.get(id).is_some_and(active));
     }
 
     /// Asks for the member list if that is due.
     fn ask_for_list(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.next_list_call.take_if(|at| now >= *at).is_some() {
-            self.list_calls.asked(now);
+            self.list_calls.call_made(now);
             actions.push(Action::Watch);
         }
     }
@@ -35,9 +35,10 @@
     pub(super) fn suspect_silent(&mut self, now: Micros) {
         let mut silent = Vec::new();
         for (id, m) in self.active_members.iter().filter_map(|id| self.members.get(id).map(|m| (id, m))) {
-            let Some((sent, _)) = m.held().next() else { continue };
-            let usual = m.held().map(|(_, c)| self.work[c.0]).fold(0.0, f64::max);
-            let patience = usual * m.slow.max(1.0) * (2.0 + 4.0 / m.held().count() as f64);
+            let Some((sent, _)) = m.active_attempts().next() else { continue };
+            let usual = m.active_attempts().map(|(_, c)| self.work[c.0]).fold(0.0, f64::max);
+            let patience =
+                usual * m.relative_latency.max(1.0) * (2.0 + 4.0 / m.active_attempts().count() as f64);
             if !m.suspect && (now - sent.max(m.heard).max(self.stalled_until)) as f64 > patience {
                 silent.push(*id);
             }
@@ -74,13 +75,13 @@
     /// suspicion is cleared and requests are sent again.
     pub(super) fn probe_suspects(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for id in self.active_members.clone() {
-            let ill = |m: &&mut Member| m.suspect && !m.barred && !m.held_out;
+            let ill = |m: &&mut Member| m.suspect && !m.closed_by_list && !m.held_out;
             let Some(m) = self.members.get_mut(&id).filter(ill) else { continue };
             let due = now >= m.probe_due;
             if due {
-                m.probe_due =
-                    now + (now - m.ill_since).clamp(self.min_round_gap * PROBE_GAP_PACES, MAX_PROBE_GAP);
-                if now - m.ill_since > SUSPECT_TRIED_AFTER {
+                m.probe_due = now
+                    + (now - m.health_changed_at).clamp(self.min_round_gap * PROBE_GAP_PACES, MAX_PROBE_GAP);
+                if now - m.health_changed_at > SUSPECT_TRIED_AFTER {
                     m.recover(now);
                 }
             }
@@ -91,10 +92,10 @@
 
     /// Sends a probe, unless one is in flight or the probe budget is used up.
     pub(super) fn probe(&mut self, now: Micros, id: MemberId, actions: &mut Vec<Action>) -> bool {
-        let Some(m) = self.members.get_mut(&id).filter(|m| m.probing.is_none()) else { return false };
+        let Some(m) = self.members.get_mut(&id).filter(|m| m.probe_sent_at.is_none()) else { return false };
         let granted = self.settings.allowed.probes && self.probe_tokens >= 1.0;
         if granted {
-            (self.probe_tokens, m.probing) = (self.probe_tokens - 1.0, Some(now));
+            (self.probe_tokens, m.probe_sent_at) = (self.probe_tokens - 1.0, Some(now));
             actions.push(Action::Probe { member: id });
         }
         granted
