--- a/src/balance.rs
+++ b/src/balance.rs
@@ -25,9 +25,9 @@
 const NEVER: Micros = -(1 << 60);
 const FOREVER: Micros = 1 << 60;
 /// Number of rounds within the shortest latency target while requests are held.
-const ROUNDS_PER_AIM: i64 = 10;
-/// Number of paces within the shortest latency target. A pace is the shortest time between two rounds.
-const PACES_PER_AIM: i64 = 50;
+const ROUNDS_PER_LATENCY_TARGET: i64 = 10;
+/// Number of round gaps within the shortest latency target. A round gap is the shortest time between two rounds.
+const ROUND_GAPS_PER_LATENCY_TARGET: i64 = 50;
 /// Failure rate (moving average) above which a member is chosen only rarely.
 const ERROR_SHARE_LIMIT: f64 = 0.3;
 /// Initial concurrency window of a member, in attempts of all drivers together. Each driver starts with a
@@ -42,12 +42,12 @@
 /// Time constant, in microseconds, of the exponential decay of sums over recent work and load.
 const DECAY_US: f64 = 10e6;
 /// Mean answer time, as a fraction of the latency target, above which a member counts as overloaded.
-const CROWDED: f64 = 0.28;
+const OVERLOAD_LATENCY_SHARE: f64 = 0.28;
 /// Bounds of the timeout of a first attempt, as multiples of the usual answer time.
 const TIMEOUT_FACTORS: (f64, f64) = (6.0, 24.0);
 /// Fraction of answers that may exceed the timeout of a first attempt; the timeout is adapted to this
 /// quantile.
-const TAIL_SHARE: f64 = 0.003;
+const SLOW_ANSWER_SHARE: f64 = 0.003;
 /// Fraction of a primary's window that reads may fill which replicas could serve but have no room for.
 const PRIMARY_READ_SHARE: f64 = 0.85;
 /// How much the concurrency limit of a cold member grows during warm-up, relative to the initial limit. The
@@ -55,11 +55,11 @@
 const WARMUP_GROWTH: f64 = 3.0;
 /// Number of send slots by which requests worth more than the mean for their work may run ahead at a member
 /// whose window is below one.
-const MAX_TURNS_AHEAD: f64 = 2.0;
+const MAX_SLOTS_AHEAD: f64 = 2.0;
 /// Requests whose worth for their work is below this fraction of the mean count as low-worth.
 const LOW_WORTH: f64 = 0.25;
 /// Fraction of a member's window that low-worth requests may fill.
-const LOW_WORTH_ROOM: f64 = 0.25;
+const LOW_WORTH_WINDOW_SHARE: f64 = 0.25;
 /// Burst of a tenant's rate limit: the share that the tenant left unused is kept for this long.
 const TENANT_BURST: Micros = 500_000;
 /// A read that earns little after its latency target is held for this fraction of the target, then refused.
@@ -73,36 +73,36 @@
 const MAX_RETRY_TOKENS: f64 = 2.0;
 /// Probe budget (token bucket): the cost in points that probes may add to each request, and the maximum
 /// number of tokens.
-const PROBE_POINTS: f64 = 0.014;
+const PROBE_POINTS_PER_REQUEST: f64 = 0.014;
 const MAX_PROBE_TOKENS: f64 = 8.0;
-/// The longest time that a read waits for a probe, in half paces.
-const PROBE_WAIT_PACES: i64 = 5;
-/// Number of paces before the first probe of a suspect.
-const PROBE_GAP_PACES: i64 = 10;
+/// The longest time that a read waits for a probe, in half round gaps.
+const PROBE_WAIT_HALF_GAPS: i64 = 5;
+/// Number of round gaps before the first probe of a suspect; also the time in which a failure counts as immediate.
+const PROBE_DELAY_GAPS: i64 = 10;
 /// The longest time between two probes of a suspect.
 const MAX_PROBE_GAP: Micros = 4_000_000;
 /// Refused connects (decayed count) that may be accidental, as when a network resets connections. If more are
 /// refused and the member turns out to be running, its connection table is full.
 const REFUSED_CONNECTS_TOLERATED: f64 = 2.5;
 /// A member that was down for longer than this may have restarted, and counts as cold.
-const RESTART_TAKES: Micros = 1_000_000;
+const MIN_RESTART_TIME: Micros = 1_000_000;
 /// A member that answered within this time is checked in every round.
 const ACTIVE_FOR: Micros = 1_000_000;
 /// A suspect gets requests again after this time even if its probes fail.
-const SUSPECT_TRIED_AFTER: Micros = 2_000_000;
+const MAX_SUSPICION: Micros = 2_000_000;
 /// Time constant of the assumed decay of a replica's replication lag.
-const LAG_FADES_IN: Micros = 2_000_000;
+const LAG_DECAY: Micros = 2_000_000;
 /// Answers at intervals longer than this get a larger weight each in the moving averages.
-const DENSE_ANSWERS: Micros = 1_000_000;
+const SPARSE_ANSWER_INTERVAL: Micros = 1_000_000;
 /// How long the sum of the weights of warm members is cached.
-const WARM_SUMMED_FOR: Micros = 1_000_000;
+const WARM_WEIGHT_CACHED_FOR: Micros = 1_000_000;
 /// Lower bound on a driver's age in the estimate of members' load.
-const MIN_AGE: Micros = 1_000_000;
+const MIN_DRIVER_AGE: Micros = 1_000_000;
 
 /// A sum that decays with the time constant [`DECAY_US`], and the time at which it had this value.
-type Recent = (f64, Micros);
+type DecayingSum = (f64, Micros);
 
-fn fade(recent: Recent, now: Micros) -> f64 {
+fn decayed(recent: DecayingSum, now: Micros) -> f64 {
     recent.0 * (-((now - recent.1) as f64) / DECAY_US).exp()
 }
 
@@ -128,7 +128,7 @@
 #[derive(Default, Clone)]
 struct Bucket {
     /// Sequence number of the latest write whose result is not known yet.
-    open: Option<u64>,
+    unsettled_write: Option<u64>,
     /// The commit position that the sessions' reads have to see.
     position: Micros,
 }
@@ -157,7 +157,7 @@
     /// The sequence number of a write; 0 for reads.
     sequence: u64,
     /// The tenant's index and the time taken from its share; `None` if the request is beyond the share.
-    share: Option<(usize, Micros)>,
+    tenant_share: Option<(usize, Micros)>,
     /// Whether a replica has rejected the request, so that only the primary can serve it.
     primary_only: bool,
     /// The replica whose probe the request has waited for.
@@ -222,7 +222,7 @@
     /// make a member a suspect.
     connections_scarce_until: Micros,
     /// When the next probe of a suspect is due.
-    probe_due: Micros,
+    next_suspect_probe: Micros,
     /// When the next round is due.
     next_round_at: Micros,
     /// The latest time for which a timer was set because held requests are due to be tried again.
@@ -233,11 +233,11 @@
     started_at: Micros,
     /// The decayed sum of recently answered work, the cached weight of warm members with the time it was
     /// computed, and the mean of requests' worth per work.
-    recent_work: Recent,
+    recent_work: DecayingSum,
     warm_weight: (f64, Micros),
     mean_worth_per_work: f64,
     /// Moving average of primaries' answer times, as a fraction of the latency target.
-    primary_load: Recent,
+    primary_load: DecayingSum,
     /// For each tenant, the time from which its next request counts as within its share.
     tenant_share_times: Vec<Micros>,
 }
@@ -263,9 +263,10 @@
             list_calls: ListCalls::new(now, settings.fleet_size),
             active_members: BTreeSet::new(),
             groups_with_held: BTreeSet::new(),
-            min_round_gap: (shortest_latency_target(&settings) / PACES_PER_AIM).clamp(1_000, 10_000),
+            min_round_gap: (shortest_latency_target(&settings) / ROUND_GAPS_PER_LATENCY_TARGET)
+                .clamp(1_000, 10_000),
             connections_scarce_until: NEVER,
-            probe_due: FOREVER,
+            next_suspect_probe: FOREVER,
             next_round_at: now,
             dispatch_timer: NEVER,
             stalled_until: now,
@@ -288,7 +289,8 @@
 
     /// Whether an open request exceeds its tenant's share.
     pub fn exceeds_share(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|r| r.share.is_none()) && !self.tenant_share_times.is_empty()
+        self.requests.get(&id).is_some_and(|r| r.tenant_share.is_none())
+            && !self.tenant_share_times.is_empty()
     }
 
     /// Processes one event and appends the resulting actions.
@@ -308,7 +310,7 @@
             Event::Maintenance { member, out } => self.on_maintenance(now, member, out),
             Event::Timer { tag: _ } | Event::Peer { from: _, body: _ } => {}
         }
-        self.dispatch_resumed(now, actions);
+        self.dispatch_due_requests(now, actions);
         if due {
             self.next_round_at = FOREVER;
             self.run_round(now, actions);
@@ -330,11 +332,11 @@
     /// When the next round is due. With nothing to do no timer is set, so that an idle driver uses no CPU
     /// time; attempts in flight are checked about once per usual answer time.
     fn next_round(&self, now: Micros) -> Micros {
-        let aim = shortest_latency_target(&self.settings);
+        let target = shortest_latency_target(&self.settings);
         let held = if self.groups_with_held.is_empty() {
             FOREVER
         } else {
-            now + (aim / ROUNDS_PER_AIM).max(self.min_round_gap)
+            now + (target / ROUNDS_PER_LATENCY_TARGET).max(self.min_round_gap)
         };
         let out = if self.deadlines.is_empty() {
             FOREVER
@@ -343,7 +345,7 @@
         };
         let (due, ask) =
             (self.deadlines.first().map_or(FOREVER, |d| d.0), self.next_list_call.unwrap_or(FOREVER));
-        held.min(out).min(due).min(ask).min(self.probe_due)
+        held.min(out).min(due).min(ask).min(self.next_suspect_probe)
     }
 
     fn shortest_work(&self) -> Micros {
@@ -361,7 +363,7 @@
         *usual += if repeat { 0.0 } else { 0.05 * (wait - *usual) };
         let began = if repeat { now - (*usual - wait).clamp(0.0, c.deadline as f64) as Micros } else { now };
         let write = c.read == ReadLevel::Write;
-        let bucket = key.map(|k| (mix(k ^ mix(group.0)) % BUCKETS) as usize);
+        let bucket = key.map(|k| (hash_key(k ^ hash_key(group.0)) % BUCKETS) as usize);
         let need = match self.settings.session_tracking {
             SessionTracking::ByRequest => since_write.map(|ago| now - ago + POSITION_UNIT),
             SessionTracking::ByDriver => bucket.map(|b| self.buckets[b].position),
@@ -379,15 +381,16 @@
             position_needed: need,
             ..Request::default()
         };
-        let r = Request { checked, share, sequence, ..r };
+        let r = Request { checked, tenant_share: share, sequence, ..r };
         self.retry_tokens = (self.retry_tokens + RETRIES_PER_REQUEST).min(MAX_RETRY_TOKENS);
-        let per_request = (PROBE_POINTS / self.settings.penalties.probe.max(PROBE_POINTS)).min(0.5);
-        self.probe_tokens = (self.probe_tokens + per_request).min(MAX_PROBE_TOKENS);
+        let tokens_per_request =
+            (PROBE_POINTS_PER_REQUEST / self.settings.penalties.probe.max(PROBE_POINTS_PER_REQUEST)).min(0.5);
+        self.probe_tokens = (self.probe_tokens + tokens_per_request).min(MAX_PROBE_TOKENS);
         self.deadlines.insert((deadline, id));
         self.mean_worth_per_work += 0.05 * (self.worth_per_work(now, &r) - self.mean_worth_per_work);
         self.requests.insert(id, r);
-        self.hold(group, id);
-        if now - self.warm_weight.1 > WARM_SUMMED_FOR {
+        self.enqueue(group, id);
+        if now - self.warm_weight.1 > WARM_WEIGHT_CACHED_FOR {
             let up = self.members.values().filter(|m| m.is_usable());
             self.warm_weight = (up.map(|m| m.entry.weight * self.capacity_share(now, m)).sum(), now);
         }
@@ -408,15 +411,15 @@
     fn on_outcome(&mut self, now: Micros, outcome: Outcome, actions: &mut Vec<Action>) {
         let Outcome { request: id, attempt, member, ending, last, elapsed, note, report, settled_at } =
             outcome;
-        self.learn_answer(now - elapsed, member, report);
+        self.record_answer_report(now - elapsed, member, report);
         let class = self.requests.get(&id).map(|r| &self.settings.classes[r.class.0]);
         let write = class.is_some_and(|c| c.read == ReadLevel::Write);
         if let Some(note) = note {
             // The position of a successful write was rounded up.
             let position =
                 note.position.map(|p| if write && ending == Ending::Ok { p - POSITION_UNIT } else { p });
-            let told = Report { position, primary: Some(note.primary), ..Report::default() };
-            self.learn(now, now, member, told);
+            let report_of_answer = Report { position, primary: Some(note.primary), ..Report::default() };
+            self.record_report(now, now, member, report_of_answer);
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(a) = r.attempts.get_mut(attempt as usize).filter(|a| a.ending.is_none()) else { return };
@@ -435,7 +438,7 @@
         }
         if let Some(b) = bucket.map(|b| &mut self.buckets[b]) {
             b.position = b.position.max(note.and_then(|n| n.position).unwrap_or(now));
-            b.open = b.open.filter(|latest| *latest != sequence);
+            b.unsettled_write = b.unsettled_write.filter(|latest| *latest != sequence);
         }
         let r = &self.requests[&id];
         if last || r.answered {
@@ -443,9 +446,9 @@
         } else if r.in_flight() == 0 {
             // A rejected attempt costs a member no work, and an error costs little at a member that is not
             // overloaded. All other retries use up the retry budget.
-            let calm = self.members.get(&member).is_some_and(|m| m.load <= CROWDED);
-            let free = write && ending.never_ran() || calm && ending == Ending::Error;
-            self.retry_or_give_up(now, id, ending, free || ending == Ending::Miss, actions);
+            let has_room = self.members.get(&member).is_some_and(|m| m.load <= OVERLOAD_LATENCY_SHARE);
+            let without_token = write && ending.never_ran() || has_room && ending == Ending::Error;
+            self.retry_or_give_up(now, id, ending, without_token || ending == Ending::Miss, actions);
         }
         self.dispatch(now, group, actions);
     }
@@ -460,8 +463,8 @@
             // table is full of idle connections.
             if m.suspect
                 && m.refuses_connections
-                && now - m.health_changed_at < RESTART_TAKES
-                && fade(m.refused_connects, now) > REFUSED_CONNECTS_TOLERATED
+                && now - m.health_changed_at < MIN_RESTART_TIME
+                && decayed(m.refused_connects, now) > REFUSED_CONNECTS_TOLERATED
             {
                 self.connections_scarce_until = now + DECAY_US as Micros;
             }
@@ -469,13 +472,13 @@
         }
         // A failed probe alone does not make a member a suspect: members may serve requests while their
         // probes fail.
-        self.learn_answer(now - elapsed, id, report);
+        self.record_answer_report(now - elapsed, id, report);
         self.dispatch(now, group, actions);
     }
 }
 
 /// Hashes a key (the finalizer of splitmix64).
-fn mix(mut x: u64) -> u64 {
+fn hash_key(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -4,7 +4,8 @@
 
 use super::member::Member;
 use super::{
-    fade, Attempt, Balancer, Request, CROWDED, LAG_FADES_IN, NEVER, PROBE_WAIT_PACES, TIMEOUT_FACTORS,
+    decayed, Attempt, Balancer, Request, LAG_DECAY, NEVER, OVERLOAD_LATENCY_SHARE, PROBE_WAIT_HALF_GAPS,
+    TIMEOUT_FACTORS,
 };
 use crate::interface::{Action, Effect, GroupId, MemberId, Micros, ReadLevel, RequestId, ZoneId};
 use crate::permission::{may_begin, AttemptLimits, PossibleExecution, RequestState};
@@ -20,39 +21,40 @@
             requests.map(|(id, r)| (self.worth_per_work(now, r), (r.arrived, id))).collect();
         // Of equal requests the newest comes first: under overload it has the most time left.
         held.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
-        let mut full = BTreeSet::new();
-        for (worth, (_, id)) in held {
+        let mut without_room = BTreeSet::new();
+        for (worth_per_work, (_, id)) in held {
             // If a request found no room, later requests of the same kind are worth no more and are skipped:
             // many may wait for a primary, and trying each would be slow.
             let kind = self.requests.get(&id).map(|r| (r.class, r.primary_only));
-            if full.contains(&kind) {
+            if without_room.contains(&kind) {
                 continue;
             }
             let Some(mut r) = self.requests.remove(&id) else { continue };
             let among = self.eligible(now, &r);
-            let lone = among.iter().all(|to| primary == Some(*to));
+            let only_primary = among.iter().all(|to| primary == Some(*to));
             // While primaries are overloaded, reads that could fall back on the primary leave it to requests
             // that only it can serve.
             let read = self.settings.classes[r.class.0].read;
-            let off =
+            let leave_primary =
                 matches!(read, ReadLevel::Bounded(_) | ReadLevel::Any) && self.primaries_overloaded(now);
-            if lone && (self.wait_for_probe(now, id, &mut r, actions) || off) {
+            if only_primary && (self.wait_for_probe(now, id, &mut r, actions) || leave_primary) {
                 self.requests.insert(id, r);
                 continue;
             }
-            let only = matches!(read, ReadLevel::Write | ReadLevel::Fresh);
-            let worth = if lone && !only { worth / 2.0 } else { worth };
-            let mut target = self.pick(now, r.class, worth, &among);
+            let primary_required = matches!(read, ReadLevel::Write | ReadLevel::Fresh);
+            let worth_per_work =
+                if only_primary && !primary_required { worth_per_work / 2.0 } else { worth_per_work };
+            let mut target = self.pick(now, r.class, worth_per_work, &among);
             // If the replicas have no room, a primary with room to spare takes reads too. Otherwise the few
             // replicas that are recent enough would be overloaded.
             if let (None, false, Some(p)) =
-                (target, lone, primary.filter(|p| self.has_room_to_spare(now, *p)))
+                (target, only_primary, primary.filter(|p| self.has_room_to_spare(now, *p)))
             {
-                target = self.pick(now, r.class, worth / 2.0, &[p]);
+                target = self.pick(now, r.class, worth_per_work / 2.0, &[p]);
             }
             // Session reads are not skipped, since they differ in the position they need.
             if target.is_none() && read != ReadLevel::Session {
-                full.insert(kind);
+                without_room.insert(kind);
             }
             let target = target.filter(|to| self.may_send(now, &r, self.members[to].entry.zone));
             self.requests.insert(id, r);
@@ -68,7 +70,7 @@
 
     /// Dispatches requests that have waited for a connection's close to take effect or for a probe. The
     /// former are not shed earlier, because they could not have been sent.
-    pub(super) fn dispatch_resumed(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn dispatch_due_requests(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.dispatch_due.first().is_none_or(|(at, _)| now < *at) {
             return;
         }
@@ -88,20 +90,21 @@
         r: &mut Request,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let Some(need) = self.required_position(now, r).filter(|n| *n > NEVER && r.in_flight() == 0) else {
+        let Some(required) = self.required_position(now, r).filter(|n| *n > NEVER && r.in_flight() == 0)
+        else {
             return false;
         };
-        if let Some(asked) = r.probed_replica {
-            let m = self.members.get(&asked);
+        if let Some(replica) = r.probed_replica {
+            let m = self.members.get(&replica);
             return m.and_then(|m| m.probe_sent_at).is_some_and(|sent| now < self.probe_wait_end(sent));
         }
         // Drawn at random among the replicas that are likely to be recent enough, so that not all drivers
         // probe the same one.
-        let old = |m: &Member| {
-            m.estimated_position(now, LAG_FADES_IN) >= need
+        let possibly_recent = |m: &Member| {
+            m.estimated_position(now, LAG_DECAY) >= required
                 && now - m.position_reported_at > self.min_round_gap * 2
         };
-        let likely = self.replicas(r.group, old);
+        let likely = self.replicas(r.group, possibly_recent);
         let Some(to) = self.rng.choice(&likely).copied() else { return false };
         if self.members[&to].probe_sent_at.is_none() && !self.probe(now, to, actions) {
             return false;
@@ -114,7 +117,7 @@
 
     /// The time until which reads wait for a probe that was sent at `sent`.
     fn probe_wait_end(&self, sent: Micros) -> Micros {
-        sent + self.min_round_gap * PROBE_WAIT_PACES / 2
+        sent + self.min_round_gap * PROBE_WAIT_HALF_GAPS / 2
     }
 
     /// Worth per work. A late request counts with what it can still earn.
@@ -122,7 +125,7 @@
         // Lateness is estimated by the work alone: a queue at the primary must not make its writes look late.
         let c = &self.settings.classes[r.class.0];
         let late = now + self.work[r.class.0] as Micros > r.first_sent + c.latency_target;
-        let share = r.share.map_or(self.settings.over_share_worth, |_| 1.0);
+        let share = r.tenant_share.map_or(self.settings.over_share_worth, |_| 1.0);
         c.worth * share * if late { c.late_worth } else { 1.0 } / self.work[r.class.0]
     }
 
@@ -163,21 +166,24 @@
         };
         let (Some(m), Some(r)) = (self.members.get_mut(&to), self.requests.get_mut(&id)) else { return };
         m.last_slot = if gap > 0 { now.max(m.last_slot + gap) } else { m.last_slot };
-        m.work_sent = (fade(m.work_sent, now) + work, now);
+        m.work_sent = (decayed(m.work_sent, now) + work, now);
         self.active_members.insert(to);
         r.uncertain_since = r.uncertain_since.or(r.first_uncertain().map(|a| a.sent));
         r.attempts.push(Attempt { zone: m.entry.zone, sent: now, ending: None });
         m.in_flight.insert((now, id, attempt), r.class);
         if let (Some(b), true) = (r.bucket, r.sequence > 0) {
-            self.buckets[b].open = self.buckets[b].open.max(Some(r.sequence));
+            self.buckets[b].unsettled_write = self.buckets[b].unsettled_write.max(Some(r.sequence));
         }
         // A connection may stall while its member goes on serving, so a first attempt waits only as long as
         // nearly all answers take.
-        let tail = if m.load > CROWDED { TIMEOUT_FACTORS.1 } else { self.tail_factor };
-        let patience = (work * m.relative_latency.max(1.0) * tail) as Micros;
+        let tail_factor = if m.load > OVERLOAD_LATENCY_SHARE { TIMEOUT_FACTORS.1 } else { self.tail_factor };
+        let usual_maximum = (work * m.relative_latency.max(1.0) * tail_factor) as Micros;
         let first = attempt == 0 && self.settings.classes[r.class.0].effect != Effect::Unsafe;
-        let timeout =
-            if first { patience.max(self.min_round_gap).min(r.deadline - now) } else { r.deadline - now };
+        let timeout = if first {
+            usual_maximum.max(self.min_round_gap).min(r.deadline - now)
+        } else {
+            r.deadline - now
+        };
         actions.push(Action::Send { request: id, member: to, timeout });
     }
 }
--- a/src/balance/member.rs
+++ b/src/balance/member.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use super::{fade, Recent, CROWDED, DECAY_US, INITIAL_WINDOW, NEVER, RESTART_TAKES};
+use super::{
+    decayed, DecayingSum, DECAY_US, INITIAL_WINDOW, MIN_RESTART_TIME, NEVER, OVERLOAD_LATENCY_SHARE,
+};
 use crate::interface::{ClassId, Entry, Micros, RequestId};
 
 /// Lower bound of a member's weight, whatever the list says.
@@ -22,7 +24,7 @@
     pub(super) role: Option<(bool, Micros)>,
     /// Attempts in flight at the member, oldest first.
     pub(super) in_flight: BTreeMap<(Micros, RequestId, u32), ClassId>,
-    pub(super) heard: Micros,
+    pub(super) last_answer_at: Micros,
     /// Moving averages: answer time relative to the class's usual one; answer time as a fraction of the
     /// latency target; failure rate.
     pub(super) relative_latency: f64,
@@ -35,7 +37,7 @@
     /// No new attempts until this time, because the member rejected some for lack of room.
     pub(super) paused_until: Micros,
     /// Work that this driver sends to the member (decayed sum).
-    pub(super) work_sent: Recent,
+    pub(super) work_sent: DecayingSum,
     /// Whether the member is suspected to have failed; suspects get no new attempts.
     pub(super) suspect: bool,
     /// When it became a suspect or last recovered, and whether it refused connections, in which case it may
@@ -45,7 +47,7 @@
     /// When one of its connections last broke while it still answered on others; decayed count of refused
     /// connects.
     pub(super) connection_broken_at: Micros,
-    pub(super) refused_connects: Recent,
+    pub(super) refused_connects: DecayingSum,
     pub(super) probe_due: Micros,
     /// When the probe that is in flight was sent.
     pub(super) probe_sent_at: Option<Micros>,
@@ -57,7 +59,7 @@
             entry,
             position: NEVER,
             position_reported_at: NEVER,
-            heard: NEVER,
+            last_answer_at: NEVER,
             relative_latency: 1.0,
             window: (INITIAL_WINDOW / f64::from(fleet.max(1))).max(2.0),
             last_slot: NEVER,
@@ -75,32 +77,39 @@
 
     /// Estimates the member's current position, assuming that its lag decays with the time constant `past`. A
     /// member without any report is assumed to be up to date.
-    pub(super) fn estimated_position(&self, now: Micros, past: Micros) -> Micros {
+    pub(super) fn estimated_position(&self, now: Micros, lag_decay: Micros) -> Micros {
         let (age, lag) =
             ((now - self.position_reported_at) as f64, self.position_reported_at - self.position);
-        now - (lag as f64 * (-age / past as f64).exp()) as Micros
+        now - (lag as f64 * (-age / lag_decay as f64).exp()) as Micros
     }
 
     /// Updates the answer time average and adapts the window. Answer times close to the latency target mean
     /// that requests queue at the member; the window then shrinks, at most once per answer time.
-    pub(super) fn strain(&mut self, now: Micros, elapsed: Micros, ratio: f64, age: f64, least: f64) {
-        let fresh = 1.0 - (-age).exp();
-        self.load += fresh.max(0.1) * (ratio - self.load);
-        let crowded = CROWDED * (1.0 + fresh);
-        if self.load > crowded && now - self.window_shrunk_at > elapsed {
-            self.shrink_window(now, (-0.07 - 0.2 * age).exp(), least);
-        } else if self.load <= crowded && self.window < 1.0 {
+    pub(super) fn record_latency(
+        &mut self,
+        now: Micros,
+        elapsed: Micros,
+        ratio: f64,
+        age: f64,
+        min_window: f64,
+    ) {
+        let weight_of_new = 1.0 - (-age).exp();
+        self.load += weight_of_new.max(0.1) * (ratio - self.load);
+        let overloaded = OVERLOAD_LATENCY_SHARE * (1.0 + weight_of_new);
+        if self.load > overloaded && now - self.window_shrunk_at > elapsed {
+            self.shrink_window(now, (-0.07 - 0.2 * age).exp(), min_window);
+        } else if self.load <= overloaded && self.window < 1.0 {
             self.window *= (0.4 * age.max(0.1)).exp();
-        } else if self.load <= crowded && self.in_flight.len() as f64 + 2.0 > self.window {
+        } else if self.load <= overloaded && self.in_flight.len() as f64 + 2.0 > self.window {
             self.window += 1.0 / self.window;
         }
     }
 
     /// Shrinks the window from its used part: the attempts in flight or, if there are none, the recent mean.
-    pub(super) fn shrink_window(&mut self, now: Micros, to: f64, least: f64) {
-        let mean = 2.0 * fade(self.work_sent, now) / DECAY_US;
+    pub(super) fn shrink_window(&mut self, now: Micros, to: f64, min_window: f64) {
+        let mean = 2.0 * decayed(self.work_sent, now) / DECAY_US;
         let used = if self.in_flight.is_empty() { mean } else { self.in_flight.len() as f64 + 1.0 };
-        self.window = (self.window.min(used) * to).max(least).max(1e-6);
+        self.window = (self.window.min(used) * to).max(min_window).max(1e-6);
         self.window_shrunk_at = now;
     }
 
@@ -126,7 +135,7 @@
             self.suspect = false;
             // Not below one: repeated suspicions must not shrink the window towards zero.
             self.window = self.window.min((self.window / 2.0).max(1.0));
-            if self.refuses_connections && now - self.health_changed_at > RESTART_TAKES {
+            if self.refuses_connections && now - self.health_changed_at > MIN_RESTART_TIME {
                 (self.entry.since, self.last_slot) = (self.entry.since.max(Some(now)), now);
             }
             self.health_changed_at = now;
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -19,12 +19,12 @@
             return;
         }
         if kind != ListKind::Saved {
-            self.list_calls.heard();
+            self.list_calls.list_arrived();
         }
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             let listed: BTreeSet<_> = entries.iter().map(|e| e.member).collect();
-            let stay = self.settings.rules.delisted_stay_open;
-            for (_, m) in self.members.iter_mut().filter(|(id, _)| !stay && !listed.contains(id)) {
+            let keep_delisted = self.settings.rules.delisted_stay_open;
+            for (_, m) in self.members.iter_mut().filter(|(id, _)| !keep_delisted && !listed.contains(id)) {
                 (m.closed_by_list, m.entry.phase) = (true, Phase::Removed);
             }
         }
@@ -68,24 +68,25 @@
         }
         let g = self.groups.entry(group).or_default();
         g.members.insert(id);
-        let fresh = Entry { since: None, ..entry.clone() };
-        let m = self.members.entry(id).or_insert_with(|| Member::new(fresh, self.settings.fleet_size));
-        let binds = m.closed_by_list || !self.settings.rules.delisted_stay_open;
-        m.closed_by_list = entry.phase == Phase::Draining || entry.phase == Phase::Removed && binds;
+        let without_start = Entry { since: None, ..entry.clone() };
+        let m =
+            self.members.entry(id).or_insert_with(|| Member::new(without_start, self.settings.fleet_size));
+        let removal_closes = m.closed_by_list || !self.settings.rules.delisted_stay_open;
+        m.closed_by_list = entry.phase == Phase::Draining || entry.phase == Phase::Removed && removal_closes;
         let started = entry.since > m.entry.since;
         m.entry = Entry { since: entry.since.max(m.entry.since), ..entry };
         // The list may be outdated: it determines the primary only if no report of a member contradicts it.
-        let said_no = m.role.is_some_and(|(primary, _)| !primary);
+        let denies_being_primary = m.role.is_some_and(|(primary, _)| !primary);
         let known = g.primary.and_then(|p| self.members.get(&p));
-        if self.members[&id].entry.leader && !said_no && known.is_none_or(|p| p.suspect) {
+        if self.members[&id].entry.leader && !denies_being_primary && known.is_none_or(|p| p.suspect) {
             self.groups.entry(group).or_default().primary = Some(id);
         }
         // Drivers that learn of a start at the same time must not all send to the member at once, so the
         // first slot is drawn at random.
         if let (true, Some(m)) = (started, self.members.get(&id)) {
             let gap = self.shortest_work() as f64 / self.concurrency_limit(now, m);
-            let drawn = (self.rng.f64() * gap.min(DECAY_US)) as Micros;
-            self.members.entry(id).and_modify(|m| m.last_slot = now - drawn);
+            let time_since_slot = (self.rng.f64() * gap.min(DECAY_US)) as Micros;
+            self.members.entry(id).and_modify(|m| m.last_slot = now - time_since_slot);
         }
     }
 }
--- a/src/balance/outcome.rs
+++ b/src/balance/outcome.rs
@@ -1,8 +1,8 @@
 //! Processes the results of attempts: updates members' health, and retries, refuses or closes requests.
 
 use super::{
-    brief_hold, fade, Balancer, Request, CROWDED, DENSE_ANSWERS, MIN_FLEET_WINDOW, MIN_WINDOW_SHARE,
-    PROBE_GAP_PACES, TAIL_SHARE, TIMEOUT_FACTORS,
+    brief_hold, decayed, Balancer, Request, MIN_FLEET_WINDOW, MIN_WINDOW_SHARE, OVERLOAD_LATENCY_SHARE,
+    PROBE_DELAY_GAPS, SLOW_ANSWER_SHARE, SPARSE_ANSWER_INTERVAL, TIMEOUT_FACTORS,
 };
 use crate::interface::{
     Action, ClassId, Effect, Ending, GroupId, MemberId, Micros, Outcome, RequestId, Scope, ZoneId,
@@ -12,68 +12,74 @@
     /// Updates the member's failure rate, answer times and concurrency window from the result of an attempt.
     pub(super) fn update_health(&mut self, now: Micros, outcome: &Outcome, class: ClassId) {
         let Outcome { member: id, ending, elapsed, .. } = *outcome;
-        let (borne, fleet) = (self.mean_concurrency(now), f64::from(self.settings.fleet_size.max(1)));
+        let (mean_concurrency, fleet) =
+            (self.mean_concurrency(now), f64::from(self.settings.fleet_size.max(1)));
         let share = elapsed as f64 / (self.settings.classes[class.0].latency_target as f64).max(1.0);
         let Some(m) = self.members.get_mut(&id) else { return };
         // If the client waited only briefly, a timeout says little about the member.
-        let late = matches!(ending, Ending::Timeout | Ending::Cancelled) && share > 2.0 * CROWDED;
+        let late =
+            matches!(ending, Ending::Timeout | Ending::Cancelled) && share > 2.0 * OVERLOAD_LATENCY_SHARE;
         let primary = self.groups.get(&m.entry.group).is_some_and(|g| g.primary == Some(id));
         if primary && (late || matches!(ending, Ending::Ok | Ending::Full)) {
-            let told = if ending == Ending::Full { 1.0 } else { share.min(2.0) };
-            let fresh = (1.0 - ((self.primary_load.1 - now) as f64 / DENSE_ANSWERS as f64).exp()).max(0.1);
-            self.primary_load = (self.primary_load.0 + fresh * (told - self.primary_load.0), now);
+            let latency_share = if ending == Ending::Full { 1.0 } else { share.min(2.0) };
+            let fresh =
+                (1.0 - ((self.primary_load.1 - now) as f64 / SPARSE_ANSWER_INTERVAL as f64).exp()).max(0.1);
+            self.primary_load = (self.primary_load.0 + fresh * (latency_share - self.primary_load.0), now);
         }
         // The time that this result stands for: rarer results get a larger weight, limited to a few seconds'
         // worth.
-        let age = ((now - m.heard) as f64 / DENSE_ANSWERS as f64).min(3.0);
+        let age = ((now - m.last_answer_at) as f64 / SPARSE_ANSWER_INTERVAL as f64).min(3.0);
         let fresh = 1.0 - (-age).exp();
         if matches!(ending, Ending::Ok | Ending::Error | Ending::Miss | Ending::Full) {
-            m.heard = now;
+            m.last_answer_at = now;
         }
-        let least = (m.weight() * borne * MIN_WINDOW_SHARE).max((MIN_FLEET_WINDOW / fleet).min(1.0));
-        let (ratio, lately) =
-            (elapsed as f64 / self.work[class.0], now - self.min_round_gap * PROBE_GAP_PACES);
-        if ending == Ending::ConnectFailed && elapsed < self.min_round_gap * PROBE_GAP_PACES {
-            m.refused_connects = (fade(m.refused_connects, now) + 1.0, now);
+        let min_window =
+            (m.weight() * mean_concurrency * MIN_WINDOW_SHARE).max((MIN_FLEET_WINDOW / fleet).min(1.0));
+        let (ratio, recently) =
+            (elapsed as f64 / self.work[class.0], now - self.min_round_gap * PROBE_DELAY_GAPS);
+        if ending == Ending::ConnectFailed && elapsed < self.min_round_gap * PROBE_DELAY_GAPS {
+            m.refused_connects = (decayed(m.refused_connects, now) + 1.0, now);
         }
         match ending {
             Ending::Ok => {
-                self.recent_work = (fade(self.recent_work, now) + self.work[class.0], now);
+                self.recent_work = (decayed(self.recent_work, now) + self.work[class.0], now);
                 m.recover(now);
-                let long = ratio / m.relative_latency.max(1.0) > self.tail_factor;
-                self.tail_factor = (self.tail_factor + if long { 2.0 } else { -2.0 * TAIL_SHARE })
+                let is_slow = ratio / m.relative_latency.max(1.0) > self.tail_factor;
+                self.tail_factor = (self.tail_factor + if is_slow { 2.0 } else { -2.0 * SLOW_ANSWER_SHARE })
                     .clamp(TIMEOUT_FACTORS.0, TIMEOUT_FACTORS.1);
                 m.failure_rate *= 0.9 - 0.2 * fresh;
                 m.relative_latency += (0.2 * fresh).max(0.05) * (ratio - m.relative_latency);
-                m.strain(now, elapsed, share, age, least);
-                let rise = if m.load > CROWDED { 0.0 } else { 0.03 };
-                self.work[class.0] *= 1.0 + if ratio < 1.0 { -0.03 } else { rise };
+                m.record_latency(now, elapsed, share, age, min_window);
+                let growth = if m.load > OVERLOAD_LATENCY_SHARE { 0.0 } else { 0.03 };
+                self.work[class.0] *= 1.0 + if ratio < 1.0 { -0.03 } else { growth };
             }
             Ending::Error => m.failure_rate += (0.5 * fresh).max(0.1) * (1.0 - m.failure_rate),
             Ending::Miss => m.recover(now),
             Ending::Full => {
-                m.shrink_window(now, 0.7, least);
-                (m.last_slot, m.paused_until) = (now, now + self.min_round_gap * PROBE_GAP_PACES / 2);
+                m.shrink_window(now, 0.7, min_window);
+                (m.last_slot, m.paused_until) = (now, now + self.min_round_gap * PROBE_DELAY_GAPS / 2);
             }
             Ending::ConnectFailed if now < self.connections_scarce_until => {
-                m.paused_until = now + self.min_round_gap * PROBE_GAP_PACES
+                m.paused_until = now + self.min_round_gap * PROBE_DELAY_GAPS
             }
             // Single connections may break while the process goes on serving. The member is suspected if
             // another one breaks before it answers again.
-            Ending::ConnectFailed | Ending::Reset if m.heard > m.connection_broken_at.max(lately) => {
+            Ending::ConnectFailed | Ending::Reset
+                if m.last_answer_at > m.connection_broken_at.max(recently) =>
+            {
                 m.connection_broken_at = now
             }
             // A member that is down refuses connections at once. One that does not respond is unreachable and
             // need not have restarted.
             Ending::ConnectFailed => {
-                self.mark_suspect(now, id, elapsed < self.min_round_gap * PROBE_GAP_PACES)
+                self.mark_suspect(now, id, elapsed < self.min_round_gap * PROBE_DELAY_GAPS)
             }
             Ending::Reset => self.mark_suspect(now, id, true),
             // The attempt ended at its deadline, so its answer would have taken at least this long.
             Ending::Timeout | Ending::Cancelled => {
                 m.relative_latency += (0.2 * fresh).max(0.05) * (ratio - m.relative_latency).max(0.0);
                 if late {
-                    m.strain(now, elapsed, share, age, least);
+                    m.record_latency(now, elapsed, share, age, min_window);
                 }
             }
             Ending::Moot => {}
@@ -86,7 +92,7 @@
         let Some(m) = self.members.get_mut(&id) else { return };
         if !m.suspect {
             (m.suspect, m.refuses_connections, m.health_changed_at, m.probe_due) =
-                (true, false, now, now + self.min_round_gap * PROBE_GAP_PACES);
+                (true, false, now, now + self.min_round_gap * PROBE_DELAY_GAPS);
         }
         m.refuses_connections |= down;
         for id in m.in_flight.keys().map(|k| k.1).collect::<Vec<_>>() {
@@ -94,8 +100,8 @@
                 continue;
             };
             let (group, zone) = (r.group, self.repeat_zone(r));
-            if self.may_send(now, r, zone) && self.spend_retry() {
-                self.hold(group, id);
+            if self.may_send(now, r, zone) && self.take_retry_token() {
+                self.enqueue(group, id);
             }
         }
     }
@@ -107,13 +113,13 @@
     }
 
     /// Queues a request until a member has room for it.
-    pub(super) fn hold(&mut self, group: GroupId, id: RequestId) {
+    pub(super) fn enqueue(&mut self, group: GroupId, id: RequestId) {
         self.groups.entry(group).or_default().held.insert(id);
         self.groups_with_held.insert(group);
     }
 
     /// Takes a token from the retry budget; returns `false` if none is left.
-    pub(super) fn spend_retry(&mut self) -> bool {
+    pub(super) fn take_retry_token(&mut self) -> bool {
         let enough = self.retry_tokens >= 1.0;
         self.retry_tokens -= if enough { 1.0 } else { 0.0 };
         enough
@@ -126,7 +132,7 @@
         now: Micros,
         id: RequestId,
         ending: Ending,
-        free: bool,
+        without_token: bool,
         actions: &mut Vec<Action>,
     ) {
         let Some(r) = self.requests.get_mut(&id) else { return };
@@ -134,8 +140,8 @@
         let (group, r) = (r.group, &self.requests[&id]);
         let at = r.settled_at.map_or(now, |settled| settled.max(now));
         let permitted = self.may_send(at, r, self.repeat_zone(r));
-        if permitted && (free || self.spend_retry()) {
-            self.hold(group, id);
+        if permitted && (without_token || self.take_retry_token()) {
+            self.enqueue(group, id);
             self.dispatch_due.extend((at > now).then_some((at, id)));
         } else {
             self.give_up(now, id, actions);
@@ -146,7 +152,7 @@
     pub(super) fn give_up(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
         r.answered = true;
-        r.share.iter().for_each(|(t, gap)| self.tenant_share_times[*t] -= gap);
+        r.tenant_share.iter().for_each(|(t, gap)| self.tenant_share_times[*t] -= gap);
         let effect = self.settings.classes[r.class.0].effect;
         if r.first_uncertain().is_none()
             || matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. })
@@ -178,8 +184,10 @@
         }
         // A write whose answer was lost must not block its bucket's reads forever: replicas whose position is
         // past this moment have applied it.
-        if let Some(b) = r.bucket.map(|b| &mut self.buckets[b]).filter(|b| b.open == Some(r.sequence)) {
-            (b.open, b.position) = (None, b.position.max(now));
+        if let Some(b) =
+            r.bucket.map(|b| &mut self.buckets[b]).filter(|b| b.unsettled_write == Some(r.sequence))
+        {
+            (b.unsettled_write, b.position) = (None, b.position.max(now));
         }
         self.requests.remove(&id);
     }
