--- a/src/bin/leadmast-wirehost/wire.rs
+++ b/src/bin/leadmast-wirehost/wire.rs
@@ -7,18 +7,18 @@
 use serde_json::{json, Value};
 
 /// The member lists of this process, by their number on the wire.
-pub type Sheets = HashMap<u64, Vec<Value>>;
+pub type MemberLists = HashMap<u64, Vec<Value>>;
 
 /// The names known to an instance: those in the settings, and members' names in the order in which they first
 /// occurred.
 pub struct Names {
-    site: settings::Names,
+    settings_names: settings::Names,
     members: Vec<String>,
     numbers: HashMap<String, u32>,
 }
 
 impl Names {
-    fn number(&mut self, name: &str) -> MemberId {
+    fn assign_member_id(&mut self, name: &str) -> MemberId {
         if let Some(&n) = self.numbers.get(name) {
             return MemberId(n);
         }
@@ -28,7 +28,7 @@
         MemberId(n)
     }
 
-    fn known(&self, name: &str) -> Result<MemberId> {
+    fn known_member_id(&self, name: &str) -> Result<MemberId> {
         let n = self.numbers.get(name).ok_or_else(|| format!("unknown member {name:?}"))?;
         Ok(MemberId(*n))
     }
@@ -36,26 +36,26 @@
 
 /// The values of one event after its name, with accessors that return readable errors.
 struct Row<'a> {
-    what: &'a str,
+    event_name: &'a str,
     values: &'a [Value],
 }
 
 impl<'a> Row<'a> {
-    fn new(what: &'a str, value: &'a Value) -> Result<Self> {
-        let values = value.as_array().ok_or_else(|| format!("{what} is not an array"))?;
-        Ok(Row { what, values })
+    fn new(event_name: &'a str, value: &'a Value) -> Result<Self> {
+        let values = value.as_array().ok_or_else(|| format!("{event_name} is not an array"))?;
+        Ok(Row { event_name, values })
     }
 
     fn get(&self, i: usize) -> Option<&'a Value> {
         self.values.get(i).filter(|v| !v.is_null())
     }
 
-    fn need<T>(&self, i: usize, name: &str, kind: &str, f: impl Fn(&'a Value) -> Option<T>) -> Result<T> {
-        let v = self.get(i).ok_or_else(|| format!("{}: {name} is missing", self.what))?;
-        f(v).ok_or_else(|| format!("{}: {name} is not {kind}: {v}", self.what))
+    fn required<T>(&self, i: usize, name: &str, kind: &str, f: impl Fn(&'a Value) -> Option<T>) -> Result<T> {
+        let v = self.get(i).ok_or_else(|| format!("{}: {name} is missing", self.event_name))?;
+        f(v).ok_or_else(|| format!("{}: {name} is not {kind}: {v}", self.event_name))
     }
 
-    fn maybe<T>(
+    fn optional<T>(
         &self,
         i: usize,
         name: &str,
@@ -64,20 +64,20 @@
     ) -> Result<Option<T>> {
         match self.get(i) {
             None => Ok(None),
-            Some(_) => self.need(i, name, kind, f).map(Some),
+            Some(_) => self.required(i, name, kind, f).map(Some),
         }
     }
 
     fn int(&self, i: usize, name: &str) -> Result<u64> {
-        self.need(i, name, "a whole number", Value::as_u64)
+        self.required(i, name, "a whole number", Value::as_u64)
     }
 
     fn time(&self, i: usize, name: &str) -> Result<Micros> {
-        self.need(i, name, "a time", time)
+        self.required(i, name, "a time", time)
     }
 
     fn text(&self, i: usize, name: &str) -> Result<&'a str> {
-        self.need(i, name, "text", Value::as_str)
+        self.required(i, name, "text", Value::as_str)
     }
 }
 
@@ -86,28 +86,32 @@
 }
 
 /// Parses `BEGIN`: the settings, the seed, and the names for translation.
-pub fn begin(item: &Value) -> Result<(Settings, u64, Names)> {
+pub fn parse_begin(item: &Value) -> Result<(Settings, u64, Names)> {
     let row = Row::new("BEGIN", item)?;
     let seed = row.int(1, "nonce64")?;
-    let facts = row.need(2, "facts", "an object", Some)?;
+    let facts = row.required(2, "facts", "an object", Some)?;
     let facts = settings::read(facts).map_err(|e| format!("BEGIN: {e}"))?;
-    Ok((facts.settings, seed, Names { site: facts.names, members: Vec::new(), numbers: HashMap::new() }))
+    Ok((
+        facts.settings,
+        seed,
+        Names { settings_names: facts.names, members: Vec::new(), numbers: HashMap::new() },
+    ))
 }
 
 /// Parses `CENSUS` and stores its member list.
-pub fn census(item: &Value, sheets: &mut Sheets) -> Result<()> {
+pub fn parse_census(item: &Value, member_lists: &mut MemberLists) -> Result<()> {
     let row = Row::new("CENSUS", item)?;
-    let rows = row.need(2, "rowsIn", "a list", Value::as_array)?;
-    sheets.insert(row.int(1, "sheet")?, rows.clone());
+    let rows = row.required(2, "rowsIn", "a list", Value::as_array)?;
+    member_lists.insert(row.int(1, "sheet")?, rows.clone());
     Ok(())
 }
 
 /// Parses one event of a running instance; `None` for events that the library does not need.
-pub fn event(item: &Value, sheets: &Sheets, names: &mut Names) -> Result<Option<Event>> {
-    let what = item.get(0).and_then(Value::as_str).ok_or("an item has no name")?;
-    let row = Row::new(what, item)?;
-    Ok(Some(match what {
-        "MEMBERS" => members(&row, sheets, names)?,
+pub fn parse_event(item: &Value, member_lists: &MemberLists, names: &mut Names) -> Result<Option<Event>> {
+    let name = item.get(0).and_then(Value::as_str).ok_or("an item has no name")?;
+    let row = Row::new(name, item)?;
+    Ok(Some(match name {
+        "MEMBERS" => members(&row, member_lists, names)?,
         "CALL" => call(&row, names)?,
         "COMPLETED" => completed(&row, names)?,
         "CANCELLED_BY_CLIENT" => Event::Gone { request: RequestId(row.int(1, "corr")?) },
@@ -117,19 +121,21 @@
             Event::Timer { tag: TimerTag(tag) }
         }
         "HEALTH" => Event::Probed(Probed {
-            member: names.known(row.text(1, "member")?)?,
+            member: names.known_member_id(row.text(1, "member")?)?,
             elapsed: row.time(2, "delaySeen")?,
             ending: ending(row.int(3, "ending")?)?,
             report: report(&row, 4, names)?,
         }),
-        "MESSAGE" => Event::Peer { from: small(row.int(1, "srcPeer")?)?, body: bytes(row.text(2, "body")?)? },
+        "MESSAGE" => {
+            Event::Peer { from: to_u32(row.int(1, "srcPeer")?)?, body: decode_hex(row.text(2, "body")?)? }
+        }
         // No class streams its answers, so the end of an answer is reported by another event.
         "ESTABLISHED" => return Ok(None),
-        _ => return Err(format!("unknown event {what:?}")),
+        _ => return Err(format!("unknown event {name:?}")),
     }))
 }
 
-fn members(row: &Row, sheets: &Sheets, names: &mut Names) -> Result<Event> {
+fn members(row: &Row, member_lists: &MemberLists, names: &mut Names) -> Result<Event> {
     let kind = match row.text(1, "how")? {
         "INCREMENTAL" => ListKind::Incremental,
         "FULL" => ListKind::Full,
@@ -138,7 +144,7 @@
         w => return Err(format!("MEMBERS: unknown how {w:?}")),
     };
     let sheet = row.int(2, "sheet")?;
-    let rows = sheets.get(&sheet).ok_or_else(|| format!("MEMBERS: unknown sheet {sheet}"))?;
+    let rows = member_lists.get(&sheet).ok_or_else(|| format!("MEMBERS: unknown sheet {sheet}"))?;
     let entries = rows.iter().map(|v| entry(v, names)).collect::<Result<_>>()?;
     Ok(Event::Members { kind, entries })
 }
@@ -152,53 +158,54 @@
         w => return Err(format!("CENSUS entry: unknown phase {w:?}")),
     };
     Ok(Entry {
-        weight: row.maybe(0, "weight", "a number", Value::as_f64)?.unwrap_or(1.0),
-        since: row.maybe(2, "since", "a time", time)?.filter(|&t| t != 0),
+        weight: row.optional(0, "weight", "a number", Value::as_f64)?.unwrap_or(1.0),
+        since: row.optional(2, "since", "a time", time)?.filter(|&t| t != 0),
         group: GroupId(row.int(3, "cluster")?),
         phase,
-        zone: names.site.zone(row.text(5, "az")?)?,
-        member: names.number(row.text(6, "member")?),
+        zone: names.settings_names.zone(row.text(5, "az")?)?,
+        member: names.assign_member_id(row.text(6, "member")?),
         common: fnv(row.text(6, "member")?),
-        leader: row.maybe(7, "leader", "a number", Value::as_f64)? == Some(1.0),
+        leader: row.optional(7, "leader", "a number", Value::as_f64)? == Some(1.0),
     })
 }
 
 fn call(row: &Row, names: &Names) -> Result<Event> {
     let band = row.text(8, "band")?;
-    let class = names.site.class(band);
+    let class = names.settings_names.class(band);
     // Without tenants the value is absent or 0.
-    let tenant = row.maybe(4, "owner", "text", |v| Some(v.as_str().and_then(|t| names.site.tenant(t))))?;
+    let tenant =
+        row.optional(4, "owner", "text", |v| Some(v.as_str().and_then(|t| names.settings_names.tenant(t))))?;
     Ok(Event::Request(Arrival {
         request: RequestId(row.int(1, "corr")?),
         checked: true,
         repeat: row.int(2, "marks")? & 2 != 0,
         deadline: row.time(3, "notAfter")?,
-        key: row.maybe(6, "key", "a whole number", Value::as_u64)?,
+        key: row.optional(6, "key", "a whole number", Value::as_u64)?,
         group: GroupId(row.int(7, "partitionNo")?),
         class: class.ok_or_else(|| format!("CALL: unknown class {band:?}"))?,
         tenant: tenant.flatten(),
-        since_write: row.maybe(9, "sinceWriteMs", "a time", time)?.filter(|&t| t > 0),
+        since_write: row.optional(9, "sinceWriteMs", "a time", time)?.filter(|&t| t > 0),
     }))
 }
 
 fn completed(row: &Row, names: &Names) -> Result<Event> {
     Ok(Event::Outcome(Outcome {
         request: RequestId(row.int(1, "corr")?),
-        last: row.need(2, "last", "true or false", Value::as_bool)?,
+        last: row.required(2, "last", "true or false", Value::as_bool)?,
         note: note(
-            row.maybe(3, "stamp", "a whole number", Value::as_u64)?.unwrap_or(0),
-            names.site.position_zero,
+            row.optional(3, "stamp", "a whole number", Value::as_u64)?.unwrap_or(0),
+            names.settings_names.position_zero,
         )?,
-        member: names.known(row.text(4, "member")?)?,
+        member: names.known_member_id(row.text(4, "member")?)?,
         elapsed: row.time(5, "delaySeen")?,
         ending: ending(row.int(6, "ending")?)?,
-        attempt: small(row.int(7, "go")?)?,
+        attempt: to_u32(row.int(7, "go")?)?,
         report: report(row, 8, names)?,
         settled_at: None,
     }))
 }
 
-fn small(n: u64) -> Result<u32> {
+fn to_u32(n: u64) -> Result<u32> {
     u32::try_from(n).map_err(|_| format!("{n} is too large"))
 }
 
@@ -214,15 +221,17 @@
 }
 
 fn report(row: &Row, i: usize, names: &Names) -> Result<Option<Report>> {
-    let Some(values) = row.maybe(i, "metrics", "a list", Value::as_array)? else { return Ok(None) };
+    let Some(values) = row.optional(i, "metrics", "a list", Value::as_array)? else { return Ok(None) };
     let mut report = Report::default();
-    for (field, v) in names.site.fields.iter().zip(values) {
+    for (field, v) in names.settings_names.fields.iter().zip(values) {
         if v.is_null() {
             continue;
         }
-        let v = v.as_f64().ok_or_else(|| format!("{}: a value of metrics is not a number: {v}", row.what))?;
+        let v = v
+            .as_f64()
+            .ok_or_else(|| format!("{}: a value of metrics is not a number: {v}", row.event_name))?;
         match field.as_str() {
-            "x0" => report.position = Some(names.site.position_zero + (v * 1e6).floor() as Micros),
+            "x0" => report.position = Some(names.settings_names.position_zero + (v * 1e6).floor() as Micros),
             "x1" => report.primary = Some(v == 1.0),
             "concurrent" => report.inflight = Some(v),
             "depth" => report.queue = Some(v),
@@ -247,7 +256,7 @@
     })
 }
 
-fn bytes(hex: &str) -> Result<Vec<u8>> {
+fn decode_hex(hex: &str) -> Result<Vec<u8>> {
     let digits: Option<Vec<u32>> = hex.chars().map(|c| c.to_digit(16)).collect();
     match digits {
         Some(d) if d.len() % 2 == 0 => Ok(d.chunks(2).map(|p| (p[0] * 16 + p[1]) as u8).collect()),
@@ -256,7 +265,7 @@
 }
 
 /// Encodes one action for the wire.
-pub fn decision(action: &Action, names: &Names) -> Value {
+pub fn encode_action(action: &Action, names: &Names) -> Value {
     let member = |m: &MemberId| names.members.get(m.0 as usize).cloned().unwrap_or_default();
     match action {
         Action::Send { request, member: m, timeout } => {
