--- a/src/balance.rs
+++ b/src/balance.rs
@@ -26,7 +26,8 @@
 const FOREVER: Micros = 1 << 60;
 /// Number of rounds within the shortest latency target while requests are held.
 const ROUNDS_PER_LATENCY_TARGET: i64 = 10;
-/// Number of round gaps within the shortest latency target. A round gap is the shortest time between two rounds.
+/// Number of round gaps within the shortest latency target. A round gap is the shortest time between two
+/// rounds.
 const ROUND_GAPS_PER_LATENCY_TARGET: i64 = 50;
 /// Failure rate (moving average) above which a member is chosen only rarely.
 const ERROR_SHARE_LIMIT: f64 = 0.3;
@@ -77,7 +78,8 @@
 const MAX_PROBE_TOKENS: f64 = 8.0;
 /// The longest time that a read waits for a probe, in half round gaps.
 const PROBE_WAIT_HALF_GAPS: i64 = 5;
-/// Number of round gaps before the first probe of a suspect; also the time in which a failure counts as immediate.
+/// Number of round gaps before the first probe of a suspect; also the time in which a failure counts as
+/// immediate.
 const PROBE_DELAY_GAPS: i64 = 10;
 /// The longest time between two probes of a suspect.
 const MAX_PROBE_GAP: Micros = 4_000_000;
@@ -207,14 +209,16 @@
     client_waits: Vec<f64>,
     /// Multiple of the usual answer time that nearly all answers stay below.
     tail_factor: f64,
-    /// Tokens left in the retry budget and in the probe budget.
+    /// Tokens left in the retry budget.
     retry_tokens: f64,
+    /// Tokens left in the probe budget.
     probe_tokens: f64,
+    /// When to call for the member list next; `None` if no call is due.
     next_list_call: Option<Micros>,
     list_calls: ListCalls,
     /// Members to check in each round: those that have attempts in flight, answered recently or are suspects.
-    /// Then the groups that hold requests.
     active_members: BTreeSet<MemberId>,
+    /// Groups that have held requests.
     groups_with_held: BTreeSet<GroupId>,
     /// The shortest time between two rounds, a small fraction of the shortest latency target.
     min_round_gap: Micros,
@@ -231,12 +235,13 @@
     stalled_until: Micros,
     /// When the driver started.
     started_at: Micros,
-    /// The decayed sum of recently answered work, the cached weight of warm members with the time it was
-    /// computed, and the mean of requests' worth per work.
+    /// Decayed sum of the work that members have answered.
     recent_work: DecayingSum,
+    /// Cached sum of the members' weights, each reduced while it is cold, and when it was computed.
     warm_weight: (f64, Micros),
+    /// Moving average of requests' worth per work.
     mean_worth_per_work: f64,
-    /// Moving average of primaries' answer times, as a fraction of the latency target.
+    /// Moving average of primaries' answer times, as a fraction of the latency target, and its last update.
     primary_load: DecayingSum,
     /// For each tenant, the time from which its next request counts as within its share.
     tenant_share_times: Vec<Micros>,
@@ -462,7 +467,7 @@
             // The member refused connections and yet is running, too soon to have restarted: its connection
             // table is full of idle connections.
             if m.suspect
-                && m.refuses_connections
+                && m.may_be_down
                 && now - m.health_changed_at < MIN_RESTART_TIME
                 && decayed(m.refused_connects, now) > REFUSED_CONNECTS_TOLERATED
             {
--- a/src/balance/list_calls.rs
+++ b/src/balance/list_calls.rs
@@ -13,8 +13,8 @@
 const MAX_BACKOFF: Micros = 2_000_000;
 /// Number of doublings after which the backoff has reached its upper bound.
 const MAX_DOUBLINGS: u32 = 6;
-/// Number of consecutive calls with broken connections that are each followed by the next call within the initial
-/// backoff.
+/// Number of consecutive calls with broken connections that are each followed by the next call within the
+/// initial backoff.
 const MAX_QUICK_CALLS: u32 = 4;
 
 /// How a call for the list has ended.
--- a/src/balance/member.rs
+++ b/src/balance/member.rs
@@ -25,10 +25,11 @@
     /// Attempts in flight at the member, oldest first.
     pub(super) in_flight: BTreeMap<(Micros, RequestId, u32), ClassId>,
     pub(super) last_answer_at: Micros,
-    /// Moving averages: answer time relative to the class's usual one; answer time as a fraction of the
-    /// latency target; failure rate.
+    /// Moving average of answer times relative to their classes' usual ones.
     pub(super) relative_latency: f64,
+    /// Moving average of answer times as a fraction of their classes' latency targets.
     pub(super) load: f64,
+    /// Moving average of the share of failed attempts.
     pub(super) failure_rate: f64,
     pub(super) window: f64,
     /// When the last send slot was used. A window below one is enforced by spacing attempts in time.
@@ -36,17 +37,18 @@
     pub(super) window_shrunk_at: Micros,
     /// No new attempts until this time, because the member rejected some for lack of room.
     pub(super) paused_until: Micros,
-    /// Work that this driver sends to the member (decayed sum).
+    /// Decayed sum of the work that this driver has sent to the member.
     pub(super) work_sent: DecayingSum,
     /// Whether the member is suspected to have failed; suspects get no new attempts.
     pub(super) suspect: bool,
-    /// When it became a suspect or last recovered, and whether it refused connections, in which case it may
-    /// have restarted and be cold.
+    /// When it became a suspect or last recovered.
     pub(super) health_changed_at: Micros,
-    pub(super) refuses_connections: bool,
-    /// When one of its connections last broke while it still answered on others; decayed count of refused
-    /// connects.
+    /// Whether connections were refused or broke while it is a suspect: its process may be down, and cold once it
+    /// has restarted.
+    pub(super) may_be_down: bool,
+    /// When one of its connections last broke while it still answered on others.
     pub(super) connection_broken_at: Micros,
+    /// Decayed count of refused connects.
     pub(super) refused_connects: DecayingSum,
     pub(super) probe_due: Micros,
     /// When the probe that is in flight was sent.
@@ -135,7 +137,7 @@
             self.suspect = false;
             // Not below one: repeated suspicions must not shrink the window towards zero.
             self.window = self.window.min((self.window / 2.0).max(1.0));
-            if self.refuses_connections && now - self.health_changed_at > MIN_RESTART_TIME {
+            if self.may_be_down && now - self.health_changed_at > MIN_RESTART_TIME {
                 (self.entry.since, self.last_slot) = (self.entry.since.max(Some(now)), now);
             }
             self.health_changed_at = now;
--- a/src/balance/outcome.rs
+++ b/src/balance/outcome.rs
@@ -91,10 +91,10 @@
     pub(super) fn mark_suspect(&mut self, now: Micros, id: MemberId, down: bool) {
         let Some(m) = self.members.get_mut(&id) else { return };
         if !m.suspect {
-            (m.suspect, m.refuses_connections, m.health_changed_at, m.probe_due) =
+            (m.suspect, m.may_be_down, m.health_changed_at, m.probe_due) =
                 (true, false, now, now + self.min_round_gap * PROBE_DELAY_GAPS);
         }
-        m.refuses_connections |= down;
+        m.may_be_down |= down;
         for id in m.in_flight.keys().map(|k| k.1).collect::<Vec<_>>() {
             let Some(r) = self.requests.get(&id).filter(|r| !r.answered && r.in_flight() == 1) else {
                 continue;
