--- a/src/balance/member.rs
+++ b/src/balance/member.rs
@@ -43,8 +43,8 @@
     pub(super) suspect: bool,
     /// When it became a suspect or last recovered.
     pub(super) health_changed_at: Micros,
-    /// Whether connections were refused or broke while it is a suspect: its process may be down, and cold once it
-    /// has restarted.
+    /// Whether connections were refused or broke while it is a suspect: its process may be down, and cold once
+    /// it has restarted.
     pub(super) may_be_down: bool,
     /// When one of its connections last broke while it still answered on others.
     pub(super) connection_broken_at: Micros,
