--- a/tests/permission.rs
+++ b/tests/permission.rs
@@ -103,10 +103,10 @@
 fn time_told_is_true_until_the_last_byte() {
     for left in [1, 1_000, 400_000, 30_000_000] {
         for bytes in [100, 32 * 1024, 250_000] {
-            let RemainingTime { remaining, valid_for: holds_for } = remaining_time_to_send(left, bytes);
+            let RemainingTime { remaining, valid_for } = remaining_time_to_send(left, bytes);
             assert!(
-                remaining + holds_for <= left + 50_000 && remaining > 0,
-                "{left}, {bytes}: {remaining}, {holds_for}"
+                remaining + valid_for <= left + 50_000 && remaining > 0,
+                "{left}, {bytes}: {remaining}, {valid_for}"
             );
         }
     }
@@ -175,9 +175,7 @@
     assert_eq!(may_exit(&ProcessState { clients_open: true, ..idle }), Err(ExitDenial::ClientsOpen));
     assert_eq!(may_exit(&ProcessState { requests_open: true, ..idle }), Err(ExitDenial::RequestsOpen));
     assert_eq!(may_exit(&ProcessState { requests_open: true, must_exit: true, ..idle }), Ok(()));
-    let list = |asked_after, known, told| {
-        may_apply_list(ListVersions { known_at_call: asked_after, known, listed: told })
-    };
+    let list = |known_at_call, known, listed| may_apply_list(ListVersions { known_at_call, known, listed });
     assert_eq!(list(3, 3, 3), Ok(()));
     assert_eq!(list(3, 5, 4), Err(ListDenial::Older));
     assert_eq!(list(3, 5, 2), Ok(()), "discovery counts anew");
