--- a/crates/gradeshunt/src/exchange.rs
+++ b/crates/gradeshunt/src/exchange.rs
@@ -1,8 +1,10 @@
-//! Where the client side and the server side meet. Requests, attempts and final answers stand here in no
-//! protocol's terms: bodies and answers are bytes that only the two sides read.
+//! The exchange connects the frontend (connections to clients) with the backend (connections to db hosts). It
+//! handles requests, attempts and final answers without knowledge of the wire protocol: bodies and answers
+//! are opaque bytes here.
 //!
-//! The exchange owns the module. It hands it events one at a time and queues what the module asks for; the
-//! turn carries the queues to the two sides, so that the module is never re-entered.
+//! The exchange owns the decision library's balancer. It passes events to it one at a time and queues the
+//! actions that the balancer returns. The turn carries these queues to the frontend and the backend, so that
+//! the balancer is never re-entered.
 mod audit;
 mod client_side;
 mod decisions;
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -1,5 +1,5 @@
-//! What was done, judged by the rules: attempts as they were written and final answers as they were given. Denials, violations
-//! and retries are counted for operators here.
+//! Checks attempts as they are written and final answers as they are given against the rules. Counts denials,
+//! violations and retries for operators.
 
 use leadmast::invariant::{violates_answer_time, violates_drain, Rule, Written};
 use leadmast::permission::AttemptDenial;
@@ -14,20 +14,22 @@
 use crate::turn::Turn;
 
 impl Exchange {
-    /// An attempt is written whole; it tells its db host so much of its client's time.
+    /// Called when an attempt has been written completely. `told` is the wait time that its statement states
+    /// to the db host.
     pub fn dispatched(&mut self, turn: &Turn, attempt: AttemptId, told: Option<Micros>) {
         if !attempt.is_forward() {
             self.figures.dispatches += 1;
         }
         let at = turn.clock.now();
         let Some(r) = self.requests.get_mut(&attempt.request) else { return };
-        // Nobody waits for it: this must not be.
+        // The client left before anything was written, so this attempt should not have been written.
         if r.left.is_some() && !r.written {
             self.tally.sent_after_gone += 1;
             self.figures.sent_after_gone += 1;
         }
         r.written = true;
-        // A try at another proxy is no attempt: that one keeps the rules for those that it makes.
+        // Forwarding to another proxy is not an attempt: that proxy checks the rules for the attempts that it
+        // makes.
         if attempt.is_forward() {
             return;
         }
@@ -54,66 +56,68 @@
         self.trace_repeat(turn, attempt, at);
     }
 
-    /// The first byte of an attempt is written, to a db host that was told at `told` to take nothing new, if it was.
+    /// Called when the first byte of an attempt has been written. `told` is the time at which the db host was
+    /// reported to accept no new requests, if it was.
     pub fn begun_at_host(&mut self, turn: &Turn, attempt: AttemptId, told: Option<Micros>) {
         if violates_drain(turn.clock.now(), told, self.drain_grace) {
             self.violated(turn, Rule::Drain, Some(attempt));
         }
     }
 
-    /// A request has its final answer.
+    /// Checks a final answer's time against the request's deadline.
     pub(super) fn audit_answer(&mut self, turn: &Turn, id: RequestId, reason: Option<FinalReason>) {
         let Some(r) = self.requests.get(&id) else { return };
-        // The time for which a request stands behind others on its connection does not count, nor that of a value that moves.
+        // Excluded: requests that expired while queued behind others on their connection, and long answers
+        // that are being passed on.
         let counts = reason != Some(FinalReason::Expired) && !r.begun;
         if counts && violates_answer_time(turn.clock.now(), r.deadline) {
             self.violated(turn, Rule::AnswerInTime, None);
         }
     }
 
-    /// A rule was violated: this must not be, and operators are told.
+    /// Counts and logs the violation of a rule. Violations indicate a fault of the proxy.
     pub fn violated(&mut self, turn: &Turn, rule: Rule, attempt: Option<AttemptId>) {
         self.figures.violations.record(rule);
         let (request, number) = (attempt.map(|a| a.request.0), attempt.map(|a| a.number));
         error!(turn.log, "a rule was violated"; "number" => number, "request" => request, "rule" => rule.name());
     }
 
-    /// An attempt was not begun, or not written.
+    /// Counts and logs an attempt that the rules did not allow to begin or to be written.
     pub fn denied(&mut self, turn: &Turn, attempt: AttemptId, denial: AttemptDenial) {
         *self.figures.denials.entry(denial.name()).or_default() += 1;
         debug!(turn.log, "attempt denied"; "why" => denial.name(), "number" => attempt.number,
             "request" => attempt.request.0);
     }
 
-    /// An answer that might have been a second copy was looked into.
+    /// Counts the result of checking a possibly duplicated answer.
     pub fn note_answer_check(&mut self, turn: &Turn, member: MemberId, found: AnswerCheck) {
         *self.figures.answer_checks.entry(found.name()).or_default() += 1;
         match found {
             AnswerCheck::Own => {}
-            AnswerCheck::Copy => warn!(turn.log, "a db host sent an answer twice"; "member" => member.0),
+            AnswerCheck::Copy => warn!(turn.log, "db host sent an answer twice"; "member" => member.0),
             AnswerCheck::Unknown => {
-                info!(turn.log, "no answer to an empty query behind what may be a copy"; "member" => member.0)
+                info!(turn.log, "db host did not answer in time whether an answer is a duplicate"; "member" => member.0)
             }
         }
     }
 
-    /// An attempt begins; a further one follows `after`.
+    /// Counts a further attempt by the ending of the one before it, `after`.
     pub(super) fn note_retry(&mut self, after: Option<Ending>) {
         if let Some(ending) = after {
             *self.figures.retries.entry(name(ending)).or_default() += 1;
         }
     }
 
-    /// A request is not served, for this reason.
+    /// Counts and logs why a request is not served.
     pub(super) fn note_reason(&mut self, turn: &Turn, id: RequestId, refused: bool, reason: FinalReason) {
         let outcome = if refused { "refused" } else { "failed" };
         *self.figures.reasons.entry((outcome, reason.name())).or_default() += 1;
         let attempts = self.requests.get(&id).map(|r| r.sends);
-        debug!(turn.log, "not served"; "why" => reason.name(), "outcome" => outcome, "attempts" => attempts,
+        debug!(turn.log, "request not served"; "why" => reason.name(), "outcome" => outcome, "attempts" => attempts,
             "request" => id.0);
     }
 
-    /// Tells of all earlier attempts of a request of which another one is written.
+    /// Logs all earlier attempts of a request when another one is written.
     pub(super) fn trace_repeat(&self, turn: &Turn, attempt: AttemptId, at: Micros) {
         let Some(r) = self.requests.get(&attempt.request) else { return };
         for earlier in &r.ended_attempts {
--- a/crates/gradeshunt/src/exchange/client_side.rs
+++ b/crates/gradeshunt/src/exchange/client_side.rs
@@ -1,4 +1,5 @@
-//! What the client side tells the exchange: calls, clients that leave or cancel, and how much they have read.
+//! Events from the frontend: new requests, clients that disconnect or cancel, and how much of an answer they
+//! have read.
 
 use leadmast::permission::may_take;
 use leadmast::{Arrival, Effect, Event, RequestId};
@@ -12,20 +13,21 @@
 use crate::turn::Turn;
 
 impl Exchange {
-    /// Takes a request, which gets one final answer.
+    /// Takes a request. Every request gets exactly one final answer.
     pub fn submit(&mut self, turn: &mut Turn, call: Call) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
         let Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body } = call;
         self.tally.requests += 1;
-        // The module answers by the deadline. Should it not, the client gets its answer all the same.
+        // The balancer answers by the deadline. This timer answers the client should it fail to.
         turn.deadlines.set(deadline + self.slack, Due::Overdue(id));
         let place = tenant.map_or(self.figures.tenants.len() - 1, |t| t.0);
         let effect = self.effects.get(class.0).copied().unwrap_or(Effect::Unsafe);
         let request = Request::new(class, effect, group, tenant, place, deadline, body);
         self.requests.insert(id, request);
         let refused = Final::Refused { retry_after: self.retry_after(class) };
-        // Its wait was over before its turn came: nobody would have the answer of an attempt.
+        // The client's wait time ended while the request was queued: nobody would receive an attempt's
+        // answer.
         if may_take(turn.now, deadline).is_err() {
             self.tally.expired_unsent += 1;
             self.figures.expired_unsent += 1;
@@ -42,16 +44,17 @@
         id
     }
 
-    /// The client has left.
+    /// The client has disconnected.
     pub fn gone(&mut self, turn: &mut Turn, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.left = Some(turn.now);
         let (written, begun, forwarded) = (r.written, r.begun, r.forward.is_some());
         let attempt = r.out.as_ref().map(|out| AttemptId { request: id, number: out.number });
         if self.end(turn, id) {
-            // Of a long answer that has begun the module knows no more. What is not sent yet is no business of the
-            // settings on calling off: nothing reaches a db host. A home learns of it by the end of its connection, and keeps to
-            // the settings itself.
+            // The balancer has already had its outcome for a long answer that has begun, so that attempt is
+            // abandoned here. An attempt that is not sent yet is withdrawn regardless of the `mayCancel`
+            // setting, since nothing has reached a db host. A home proxy notices the closed connection and
+            // applies the setting itself.
             let abandon = begun || forwarded;
             self.orders.extend(attempt.map(if abandon { Order::Abandon } else { Order::Withdraw }));
             self.tally.gone += 1;
@@ -61,7 +64,8 @@
         }
     }
 
-    /// The client has cancelled a request and waits to be told so. Of a value that has begun it gets the rest.
+    /// The client has cancelled a request and waits for the confirmation. An answer that has begun is still
+    /// sent to its end.
     pub fn cancel(&mut self, turn: &mut Turn, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over && !r.begun) else { return };
         r.left = Some(turn.now);
@@ -72,7 +76,8 @@
         self.tell(turn, Event::Gone { request: id });
     }
 
-    /// The client side has got so much more of a long answer, and holds so much that its client has yet to read.
+    /// The frontend has received `got` more bytes of a long answer, and buffers `held` bytes that its client
+    /// has yet to read.
     pub fn unread(&mut self, id: RequestId, got: usize, held: usize) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
         r.queued = r.queued.saturating_sub(got);
--- a/crates/gradeshunt/src/exchange/decisions.rs
+++ b/crates/gradeshunt/src/exchange/decisions.rs
@@ -1,4 +1,4 @@
-//! The module that decides: what it is told, one event at a time, and what it asks for.
+//! Passes events to the balancer one at a time, and carries out the actions that it returns.
 
 use std::rc::Rc;
 
@@ -16,7 +16,7 @@
 use crate::turn::Turn;
 
 impl Exchange {
-    /// A db host is held out by hand, or readmitted.
+    /// An operator holds a db host out, or readmits it.
     pub fn maintain(&mut self, turn: &mut Turn, member: MemberId, out: bool) {
         self.tell(turn, Event::Maintenance { member, out });
     }
@@ -27,23 +27,23 @@
         self.tell(turn, Event::Members { kind, entries });
     }
 
-    /// A timer that the module has set is due.
+    /// A timer that the balancer has set is due.
     pub fn timer(&mut self, turn: &mut Turn, tag: TimerTag) {
         self.tell(turn, Event::Timer { tag });
     }
 
-    /// Hands the module an event, and carries out what it asks for.
+    /// Passes an event to the balancer and carries out the actions that it returns.
     pub(super) fn tell(&mut self, turn: &mut Turn, event: Event) {
         self.events.push_back(event);
-        // What the module asks for can end at once, as when an attempt is never sent: such an event waits
-        // until the module has returned, and the loop further up takes it.
+        // Carrying out an action can raise another event at once, such as an attempt that is never sent. That
+        // event is queued until the balancer has returned; the outer call's loop handles it.
         if std::mem::replace(&mut self.telling, true) {
             return;
         }
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             match &event {
-                // A line a db host: a list of thousands is no line that a reader takes.
+                // One line per db host: a list of thousands on one line is too long for log readers.
                 Event::Members { kind, entries } => {
                     debug!(turn.log, "members"; "kind" => ?kind, "entries" => entries.len());
                     entries.iter().for_each(|e| debug!(turn.log, "listed"; "is" => ?e));
@@ -60,7 +60,7 @@
         self.telling = false;
     }
 
-    /// Carries out one action of the module.
+    /// Carries out one action of the balancer.
     fn act(&mut self, turn: &mut Turn, action: Action) {
         match action {
             Action::Send { request, member, timeout } => self.send(turn, request, member, timeout),
@@ -104,8 +104,8 @@
             self.denied(turn, attempt, denial);
             return self.outcome(turn, Outcome { last, ..outcome_of(attempt, member, Ending::Moot) });
         }
-        // A repeat is none only within its window, counted from the first send: a connection that comes up late must not
-        // carry it past that.
+        // Db hosts recognize a repeat only within its window, counted from the first send. A connection that
+        // comes up late must not carry it past that.
         let write_by = repeat_by(facts.effect, facts.doubt, self.limits.margin).unwrap_or(until);
         self.note_retry(after);
         let Some(r) = self.requests.get_mut(&id) else { return };
@@ -113,7 +113,7 @@
         self.orders.push_back(Order::Start { attempt, member, body: Rc::clone(&r.body), until, write_by });
     }
 
-    /// An attempt has ended: the module is told.
+    /// Reports the outcome of an attempt to the balancer.
     pub(super) fn outcome(&mut self, turn: &mut Turn, outcome: Outcome) {
         *self.tally.endings.entry(name(outcome.ending)).or_default() += 1;
         site_loss::see(&mut self.sites, turn.now, outcome.member, outcome.ending, outcome.elapsed);
--- a/crates/gradeshunt/src/exchange/endings.rs
+++ b/crates/gradeshunt/src/exchange/endings.rs
@@ -1,10 +1,10 @@
-//! How attempts end: the name of an ending, and the outcome that the module is told.
+//! Endings of attempts: their names, and the outcome that is reported to the balancer.
 
 use leadmast::{Ending, MemberId, Outcome};
 
 use crate::ids::AttemptId;
 
-/// An attempt that ended so, at once and without a word.
+/// The outcome of an attempt that ended immediately and without a reply.
 pub(super) fn outcome_of(attempt: AttemptId, member: MemberId, ending: Ending) -> Outcome {
     let AttemptId { request, number: attempt } = attempt;
     let (last, elapsed, note, report, settled_at) = (false, 0, None, None, None);
--- a/crates/gradeshunt/src/exchange/final_answers.rs
+++ b/crates/gradeshunt/src/exchange/final_answers.rs
@@ -1,4 +1,4 @@
-//! Final answers: each request gets one, and is forgotten when its last attempt has ended, too.
+//! Final answers. Each request gets exactly one, and is removed once its last attempt has ended as well.
 
 use leadmast::{Event, RequestId};
 use slog::error;
@@ -10,17 +10,17 @@
 use crate::turn::Turn;
 
 impl Exchange {
-    /// The time for a final answer is over: one that the module has not answered fails.
+    /// Fails a request that the balancer has not answered in time.
     pub fn overdue(&mut self, turn: &mut Turn, id: RequestId) {
         if self.requests.get(&id).is_some_and(|r| !r.over) {
-            error!(turn.log, "overdue: the module gave no final answer, failing the request"; "request" => id.0);
+            error!(turn.log, "no final answer by the deadline; failing the request"; "request" => id.0);
             self.finish(turn, id, Final::Failed(None), Some(FinalReason::Overdue));
             self.tell(turn, Event::Gone { request: id });
         }
     }
 
-    /// The process ends: what is still open is answered, as a failure where it may have run. Of a value that has begun the
-    /// client has to see that it is not whole.
+    /// Answers all open requests because the process is shutting down: as failed where an attempt may have
+    /// run, else as refused. A client that has part of an answer must see that it is incomplete.
     pub fn end_all(&mut self, turn: &mut Turn) {
         let open: Vec<_> = self.requests.iter().filter(|(_, r)| !r.over).map(|(id, _)| *id).collect();
         for id in open {
@@ -41,7 +41,7 @@
         self.requests.values().all(|r| r.over)
     }
 
-    /// Gives a request its final answer, and why where it is not served.
+    /// Gives a request its final answer; `reason` says why it is not served.
     pub(super) fn finish(
         &mut self,
         turn: &mut Turn,
@@ -72,7 +72,7 @@
         self.answers.push_back((id, Answer::Final(answer)));
     }
 
-    /// Marks a request as over; false where it already was.
+    /// Marks a request as over; returns false if it already was.
     pub(super) fn end(&mut self, turn: &mut Turn, id: RequestId) -> bool {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return false };
         r.over = true;
@@ -81,7 +81,7 @@
         true
     }
 
-    /// Forgets a request that is over, once no attempt of it is out.
+    /// Removes a request that is over and has no attempt out.
     pub(super) fn forget_if_done(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|r| r.over && r.out.is_none()) {
             self.requests.remove(&id);
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -1,5 +1,5 @@
-//! Requests that are sent on to a home proxy. The module hears nothing of them, unless no home can be had and they are served
-//! from here after all.
+//! Requests that are forwarded to a home proxy. The balancer does not know of them, unless no home is
+//! available and this proxy serves them itself.
 
 use gradeshunt_placement::Source;
 use leadmast::permission::{may_repeat, repeat_by, Doubt};
@@ -16,22 +16,23 @@
 use crate::placing::{self, Decision};
 use crate::turn::Turn;
 
-/// Numbers of tries at other proxies; the module numbers its attempts from 0 on.
+/// First number of an attempt to forward a request; the balancer numbers its attempts from 0.
 const FIRST_FORWARD: u32 = 1 << 16;
 
 impl AttemptId {
-    /// Whether it is a try at another proxy, and no attempt at a db host.
+    /// Whether this is a forward to another proxy rather than an attempt at a db host.
     pub fn is_forward(self) -> bool {
         self.number >= FIRST_FORWARD
     }
 }
 
 impl Exchange {
-    /// Sends a request on, or serves it from here. One that came from another proxy is always served here, so that none goes
-    /// round in circles.
+    /// Forwards a request, or serves it here. A request that came from another proxy is always served here,
+    /// so that requests cannot circulate among proxies.
     pub(super) fn place(&mut self, turn: &mut Turn, source: Source, arrival: Arrival) {
         let id = arrival.request;
-        // Only a value that tells its db host how long to wait can be had from another proxy as from a db host.
+        // Another proxy can stand in for a db host only for requests that state their wait time and return
+        // one value.
         let body = self.requests.get(&id).map(|r| &r.body);
         let plain = body.is_none_or(|b| !b.tells_wait() || b.form != Form::Value);
         let Some(placing) = &mut self.placing else { return self.serve_here(turn, arrival) };
@@ -70,18 +71,19 @@
 
     fn send_on(&mut self, turn: &mut Turn, id: RequestId, peer: MemberId, mut forward: Forward) {
         let Some(r) = self.requests.get(&id) else { return };
-        // The home's last answer has to come back in time.
+        // Leaves time for the home's answer to reach this proxy.
         let last = r.deadline - self.hop;
         if last <= turn.now {
             return self.refuse(turn, id);
         }
-        // A home that answers others is waited for. Of one that may be silent, what may be repeated leaves time for the next.
+        // A home that has answered lately is given all of the time. For one that may be unresponsive, a
+        // request that may be repeated keeps half of the time for the next home.
         let half = turn.now + (r.deadline - turn.now) / 2;
         let heard = self.placing.as_ref().is_some_and(|placing| placing.is_heard(turn.now, peer));
         let until = if !heard && self.may_repeat(turn.now, id, half) { half.min(last) } else { last };
         forward.tried.push(peer);
         let number = FIRST_FORWARD + forward.tried.len() as u32;
-        debug!(turn.log, "sent on"; "request" => id.0, "member" => peer.0);
+        debug!(turn.log, "request forwarded to a home proxy"; "request" => id.0, "member" => peer.0);
         let Some(r) = self.requests.get_mut(&id) else { return };
         let doubt = r.doubt_since.map(|since| Doubt { since, zone: None });
         let write_by = repeat_by(r.effect, doubt, self.limits.margin).map_or(until, |by| by.min(until));
@@ -92,14 +94,14 @@
         self.orders.push_back(Order::Start { attempt, member: peer, body, until, write_by });
     }
 
-    /// Whether a request that may have run may be sent once more at `at`.
+    /// Whether a request that may have run may be sent again at `at`.
     fn may_repeat(&self, now: Micros, id: RequestId, at: Micros) -> bool {
         let Some(r) = self.requests.get(&id) else { return false };
         let doubt = Doubt { since: r.doubt_since.unwrap_or(now), zone: None };
         may_repeat(at, r.effect, Some(doubt), None, self.limits.margin).is_ok()
     }
 
-    /// A try at another proxy has ended.
+    /// A forward to another proxy has ended.
     pub(super) fn forward_ended(
         &mut self,
         turn: &mut Turn,
@@ -141,7 +143,8 @@
         self.forget_if_done(id);
     }
 
-    /// Sends a request on to another proxy, or serves it from here, once the close of its latest connection has settled.
+    /// Forwards a request to another proxy, or serves it here, once the close of its latest connection has
+    /// settled.
     fn send_on_at(&mut self, turn: &mut Turn, id: RequestId, forward: Forward, at: Micros) {
         if at <= turn.now {
             return self.decide(turn, id, forward);
@@ -151,7 +154,7 @@
         turn.deadlines.set(at, Due::SendOn(id));
     }
 
-    /// The close has settled: the request is sent on, unless it is over by now.
+    /// The close of the latest connection has settled: forwards the request, unless it is over by now.
     pub fn send_on_due(&mut self, turn: &mut Turn, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
         if let Some(forward) = r.forward.take() {
@@ -159,7 +162,7 @@
         }
     }
 
-    /// What the end of a try says of the proxy that it went to.
+    /// Updates the state of a proxy by how a forward to it ended.
     fn judge_peer(
         &mut self,
         turn: &mut Turn,
@@ -187,8 +190,8 @@
         }
     }
 
-    /// Takes back from a silent proxy what may be repeated, and closes the connections to it that stand in the pool: the next
-    /// request needs one that has come up.
+    /// Abandons the forwards at an unresponsive proxy that may be repeated, and closes the idle connections
+    /// to it: the next request needs a new one.
     fn leave_peer(&mut self, now: Micros, peer: MemberId) {
         self.orders.push_back(Order::CloseIdle(peer));
         let at_peer = self.requests.iter().filter_map(|(id, r)| {
--- a/crates/gradeshunt/src/exchange/messages.rs
+++ b/crates/gradeshunt/src/exchange/messages.rs
@@ -1,4 +1,4 @@
-//! What the exchange and the two sides hand each other: calls, orders, how attempts ended, answers.
+//! Types that the exchange passes to and receives from the frontend and the backend.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -10,25 +10,25 @@
 use crate::ids::AttemptId;
 use crate::memory::Held;
 
-/// How much of a long answer may be under way to a client.
+/// Bytes of a long answer that may be buffered between the backend and a client.
 pub const ROOM: usize = 64 * 1024;
 
-/// What an answer has to be.
+/// The shape that an answer must have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Form {
-    /// One value.
+    /// One row with one column.
     #[default]
     Value,
-    /// All that a db host has to say.
+    /// Any result: any number of rows and columns, with all messages that belong to it.
     Result,
 }
 
-/// A request's body, and where in it the client's wait stands, if it does.
+/// A request's statement, and the byte range in it that holds the client's wait time, if it states one.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Body {
     bytes: Vec<u8>,
     pub(super) wait_at: Option<Range<usize>>,
-    /// What is to come of it.
+    /// The shape that its answer must have.
     pub form: Form,
     held: Held,
 }
@@ -40,17 +40,18 @@
         Body { bytes, wait_at, form, held }
     }
 
-    /// How many bytes it has.
+    /// The length in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether it tells its db host how long its client waits.
+    /// Whether the statement tells the db host how long the client waits.
     pub fn tells_wait(&self) -> bool {
         self.wait_at.is_some()
     }
 
-    /// The body around the wait, where one stands in it: else all of it.
+    /// The bytes before and after the wait time; all bytes and `None` where the statement states no wait
+    /// time.
     pub fn around_wait(&self) -> (&[u8], Option<&[u8]>) {
         match &self.wait_at {
             Some(at) => (&self.bytes[..at.start], Some(&self.bytes[at.end..])),
@@ -59,7 +60,7 @@
     }
 }
 
-/// A request, as its client sent it.
+/// A request as its client sent it.
 #[derive(Debug)]
 pub struct Call {
     pub class: ClassId,
@@ -68,16 +69,16 @@
     pub deadline: Micros,
     pub since_write: Option<Micros>,
     pub repeat: bool,
-    /// Whether a db host can tell from the statement what it has to see.
+    /// Whether the statement lets a db host check how current its data must be.
     pub checked: bool,
-    /// Whose it is, where the settings name tenants.
+    /// The tenant that the request belongs to, where the settings name tenants.
     pub tenant: Option<TenantId>,
-    /// Whether it came from a client or from another proxy.
+    /// Whether the request came from a client or from another proxy.
     pub source: Source,
     pub body: Body,
 }
 
-/// What the client side is handed for a request.
+/// What the frontend receives for a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Answer {
     /// A part of a long answer; more follows.
@@ -88,19 +89,19 @@
 /// A final answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Final {
-    /// The answer as a db host gave it, or what is left of one that was passed on in parts.
+    /// The answer as a db host sent it, or its remaining bytes if earlier parts were passed on.
     Served(Vec<u8>),
-    /// Turned away; a repeat is harmless, after this long.
+    /// Not executed: the client may safely send it again, after `retry_after` where that is set.
     Refused { retry_after: Option<Micros> },
-    /// Failed, with the db host's own error where it gave one.
+    /// Failed, with the db host's error message if it sent one.
     Failed(Option<Vec<u8>>),
-    /// Its client has asked for that.
+    /// Cancelled by its client.
     Cancelled,
-    /// It broke off amid its parts: the client has to see that it is not whole.
+    /// Interrupted after parts of it were passed on: the client must see that it is incomplete.
     Broken,
 }
 
-/// What the server side is to do.
+/// A command to the backend.
 #[derive(Debug)]
 pub enum Order {
     Start {
@@ -108,26 +109,26 @@
         member: MemberId,
         body: Rc<Body>,
         until: Micros,
-        /// It may not be written any later than this, whenever a connection for it comes up.
+        /// The attempt must not be written after this time, even if its connection comes up later.
         write_by: Micros,
     },
     Abandon(AttemptId),
-    /// Its client has left: it is not sent, unless it has been already.
+    /// The client has left: cancel the attempt unless it has already been sent.
     Withdraw(AttemptId),
-    /// The client side can take more of a long answer.
+    /// The frontend can take more of a long answer.
     Resume(AttemptId),
     Probe(MemberId),
     CloseIdle(MemberId),
 }
 
-/// What discovery is to be asked.
+/// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ask {
     Watch,
     Fetch,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Debug)]
 pub struct Ended {
     pub attempt: AttemptId,
@@ -137,19 +138,19 @@
     pub trace: AttemptTrace,
 }
 
-/// Whose an answer was that might have been a second copy of an earlier one.
+/// The result of checking whether an answer duplicates an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerCheck {
-    /// That of its request.
+    /// The answer belongs to its request.
     Own,
-    /// It was a copy, and that of its request followed.
+    /// It was a duplicate; the request's own answer followed.
     Copy,
-    /// The db host did not tell in time.
+    /// The db host did not answer the check in time.
     Unknown,
 }
 
 impl AnswerCheck {
-    /// Its name in the log and the figures.
+    /// The name in the log and in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             AnswerCheck::Own => "own",
@@ -159,22 +160,22 @@
     }
 }
 
-/// What a db host has said that a client may get to see.
+/// The part of a db host's reply that decides the client's answer.
 #[derive(Debug)]
 pub enum Said {
     Nothing,
-    /// The answer.
+    /// A complete answer.
     Answer(Vec<u8>),
-    /// An error of the db host's; another attempt may do better.
+    /// An error of the db host; another attempt may succeed.
     Error(Vec<u8>),
-    /// An error of the statement's own, such as a duplicate key: it would be the same anywhere.
+    /// An error of the statement itself, such as a duplicate key: any db host would return it.
     Verdict(Vec<u8>),
-    /// It has turned the request away, perhaps with the time after which to come again.
+    /// The db host refused the request, possibly with a time after which to retry.
     Refused {
         retry_after: Option<Micros>,
     },
-    /// It ends, and has not read the request.
+    /// The proxy that received the request is shutting down and has not read it.
     Leaving,
-    /// Something that may be the answer to another request; this one may be at work there.
+    /// A reply that may answer another request; this request may still be running on the db host.
     Unclear,
 }
--- a/crates/gradeshunt/src/exchange/reason.rs
+++ b/crates/gradeshunt/src/exchange/reason.rs
@@ -1,38 +1,38 @@
-//! Why requests got the final answer that they got, for the log and the figures.
+//! Reasons for which requests are not served, for the log and the metrics.
 
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FinalReason {
-    /// Its client's wait was over when its turn came.
+    /// The client's wait time ended while the request was queued.
     Expired,
-    /// It is beyond the plan for the loss of a site.
+    /// The plan for the loss of a site does not admit it.
     SitePlan,
-    /// No home proxy could be had.
+    /// No home proxy was available.
     NoHome,
-    /// A home proxy has refused it.
+    /// A home proxy refused it.
     HomeRefused,
     /// No attempt was begun: no db host had room for it in time.
     NeverSent,
     /// None of its attempts can have run.
     NeverRan,
-    /// An attempt may have run.
+    /// At least one attempt may have run.
     MayHaveRun,
-    /// Its only answer may be another request's.
+    /// The only answer received may belong to another request.
     AnswerUnclear,
-    /// A db host said that the statement itself is wrong.
+    /// A db host reported that the statement itself is invalid.
     Statement,
-    /// A value broke off amid its parts.
+    /// A long answer was interrupted after parts of it were passed on.
     ValueCut,
-    /// Its client has cancelled it.
+    /// The client cancelled it.
     Cancelled,
-    /// The process ends.
+    /// The process is shutting down.
     Leaving,
-    /// The decisions gave no answer in time.
+    /// The balancer gave no answer in time.
     Overdue,
 }
 
 impl FinalReason {
-    /// Its name in the log and the figures.
+    /// The name in the log and in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             FinalReason::Expired => "expired",
--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -1,4 +1,5 @@
-//! A request as the exchange knows it: its attempts, what may have run, and how far its answer got.
+//! State of a request in the exchange: its attempts, which of them may have run, and how much of its answer
+//! was passed on.
 
 use std::rc::Rc;
 
@@ -17,58 +18,61 @@
     pub(super) since: Micros,
 }
 
-/// A request on its way over other proxies.
+/// A request that is being forwarded to other proxies.
 #[derive(Debug)]
 pub(super) struct Forward {
-    /// What the module is told should it be served from here.
+    /// Passed to the balancer if this proxy serves the request after all.
     pub(super) arrival: Arrival,
     pub(super) bucket: Bucket,
-    /// The proxies that it was sent on to.
+    /// The proxies to which the request has been forwarded.
     pub(super) tried: Vec<MemberId>,
 }
 
 /// A request that has no final answer yet, or whose last attempt is still out.
 pub(super) struct Request {
     pub(super) class: ClassId,
-    /// What a second run of it would do, by its class.
+    /// What a second execution would do, by the request's class.
     pub(super) effect: Effect,
     pub(super) group: GroupId,
     pub(super) of: Option<TenantId>,
-    /// Its place in [`Figures::tenants`](crate::figures::Figures::tenants), and whether it is beyond that tenant's share.
+    /// Index in [`Figures::tenants`](crate::figures::Figures::tenants).
     pub(super) tenant: usize,
+    /// Whether the request exceeds its tenant's share.
     pub(super) beyond: bool,
     pub(super) deadline: Micros,
     pub(super) body: Rc<Body>,
     pub(super) sends: u32,
     pub(super) out: Option<Out>,
-    /// An attempt was written whole.
+    /// Whether an attempt was written completely.
     pub(super) written: bool,
-    /// When the first attempt that may have run was sent.
+    /// When the first attempt that may have run was started.
     pub(super) doubt_since: Option<Micros>,
-    /// From when on another attempt may follow those whose connections were closed.
+    /// The time from which another attempt may start, where a connection of an earlier one was closed.
     pub(super) settled_at: Option<Micros>,
-    /// When its client left before it had its answer.
+    /// When the client disconnected before it had its answer.
     pub(super) left: Option<Micros>,
-    /// How its latest attempt has ended.
+    /// How the latest attempt ended.
     pub(super) ended: Option<Ending>,
-    /// All that have ended, for the log.
+    /// All attempts that have ended.
     pub(super) ended_attempts: Vec<EndedAttempt>,
-    /// The final answer is given, or the client has gone.
+    /// The final answer was given, or the client has disconnected.
     pub(super) over: bool,
     pub(super) error: Option<Vec<u8>>,
-    /// While another proxy has it.
+    /// Set while the request is being forwarded to other proxies.
     pub(super) forward: Option<Box<Forward>>,
-    /// The first part of a long answer was passed on: from then on it is this attempt's, without a deadline.
+    /// The first part of a long answer was passed on. From then on no other attempt may answer, and no
+    /// deadline applies.
     pub(super) begun: bool,
-    /// How much of it the client side can take now, how much is on its way there, and whether the server side waits
-    /// for more room.
+    /// Bytes of the answer that the frontend can take now.
     pub(super) room: usize,
+    /// Bytes of the answer that are queued for the frontend.
     pub(super) queued: usize,
+    /// Whether the backend waits for more room.
     pub(super) stalled: bool,
 }
 
 impl Request {
-    /// A request that has just been taken; `tenant` is its place among the figures of tenants.
+    /// A new request; `tenant` is its index among the tenants' counters.
     pub(super) fn new(
         class: ClassId,
         effect: Effect,
@@ -105,7 +109,7 @@
         }
     }
 
-    /// What is known of it where an attempt is considered.
+    /// The facts by which the rules allow or deny an attempt.
     pub(super) fn facts(&self) -> RequestFacts {
         RequestFacts {
             effect: self.effect,
@@ -119,22 +123,23 @@
         }
     }
 
-    /// Attempts that are out beside this one. A db host counts an attempt as out for as long as its connection is open and has not told
-    /// ReadyForQuery, also where it counts as ended here.
+    /// Counts the request's other attempts that are out. To a db host an attempt is out for as long as its
+    /// connection is open and ReadyForQuery has not been sent, even if it has ended here.
     pub(super) fn others_out(&self, number: u32) -> u32 {
         let other = self.out.as_ref().is_some_and(|out| out.number != number);
         let open = |ended: &&EndedAttempt| ended.trace.connection_end == ConnectionEnd::AwaitsReady;
         u32::from(other) + self.ended_attempts.iter().filter(open).count() as u32
     }
 
-    /// When the first of its attempts began that may have run, also by what was written of each and what its db host said of it: an
-    /// ending that was told by mistake hides nothing.
+    /// The start of the first attempt that may have run. Besides the reported endings this considers what was
+    /// written and what the db host replied, so that an attempt that ended with a wrong ending is counted
+    /// too.
     pub(super) fn may_have_run_since(&self) -> Option<Micros> {
         let in_doubt = self.ended_attempts.iter().filter(|ended| ended.may_have_run());
         in_doubt.map(|ended| ended.since).chain(self.doubt_since).min()
     }
 
-    /// Why it gets no answer of a db host's, where the decisions give it up.
+    /// Why no db host answered the request, when the balancer gives it up.
     pub(super) fn given_up_because(&self) -> FinalReason {
         match (self.sends, self.doubt_since) {
             (0, None) => FinalReason::NeverSent,
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -1,4 +1,4 @@
-//! What the server side tells the exchange: parts of long answers, attempts and probes that have ended.
+//! Events from the backend: parts of long answers, and attempts and probes that have ended.
 
 use leadmast::permission::settled_at;
 use leadmast::{Ending, Event, Micros, Note, Outcome, Probed};
@@ -14,21 +14,22 @@
 use crate::turn::Turn;
 
 impl Exchange {
-    /// How much of a long answer the client side can take. Where that is none, [`Order::Resume`] follows later.
+    /// The number of bytes of a long answer that the frontend can take. After 0, [`Order::Resume`] follows
+    /// once there is room.
     pub fn room(&mut self, attempt: AttemptId) -> usize {
         let Some(r) = self.requests.get_mut(&attempt.request).filter(|r| !r.over) else { return 0 };
         r.stalled = r.room == 0;
         r.room
     }
 
-    /// Whether another attempt might follow one that ends at `at`.
+    /// Whether another attempt may follow one that ends at `at`.
     pub fn may_be_followed(&self, attempt: AttemptId, at: Micros) -> bool {
         self.requests.get(&attempt.request).is_some_and(|r| !r.over && at < r.deadline)
     }
 
-    /// A part of a long answer. The client has begun to read it: no deadline ends it any more. The module's outcome is
-    /// that of the first part: how long a value is says nothing of its db host, and one that is silent to others while
-    /// it sends would pass for ill.
+    /// Passes on a part of a long answer. The client has begun to read it, so that no deadline ends it any
+    /// more. The balancer gets the attempt's outcome with the first part: the length of a value says nothing
+    /// about its db host, and a db host that is busy sending would otherwise be taken for unhealthy.
     pub fn part(&mut self, turn: &mut Turn, attempt: AttemptId, bytes: Vec<u8>, note: Option<Note>) {
         let id = attempt.request;
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
@@ -39,7 +40,7 @@
         self.answers.push_back((id, Answer::Part(bytes)));
         if !std::mem::replace(&mut r.begun, true) {
             turn.deadlines.clear(r.deadline + self.slack, Due::Overdue(id));
-            // Of what another proxy serves the module knows nothing.
+            // The balancer does not know of requests that another proxy serves.
             if r.forward.is_none() {
                 let last = true;
                 self.outcome(
@@ -55,7 +56,7 @@
         let Ended { attempt: AttemptId { request: id, number }, ending, note, said, trace } = ended;
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(out) = r.out.take_if(|o| o.number == number) else { return };
-        // The time of the close itself: that of the turn may be long past.
+        // Reads the clock for the time of the close: the turn may have begun long before.
         if trace.connection_end == ConnectionEnd::Reset {
             r.settled_at = r.settled_at.max(Some(settled_at(turn.clock.now())));
         }
@@ -87,12 +88,12 @@
             self.finish(turn, id, answer, reason);
         }
         self.forget_if_done(id);
-        // The module has had its outcome when the answer began.
+        // The balancer had its outcome when the answer began.
         if begun {
             *self.tally.endings.entry("broken").or_default() += u32::from(broken);
             return;
         }
-        // What is the statement's own fault must not cost the db host its standing.
+        // An error of the statement itself must not lower the db host's health.
         let verdict = last && ending == Ending::Error && !over;
         let ending = if verdict { Ending::Cancelled } else { ending };
         let elapsed = turn.now - out.since;
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -1,4 +1,5 @@
-//! The exchange's state: the requests, the decisions, and what is queued for the two sides.
+//! State of the exchange: open requests, the balancer, and the queues to the frontend, the backend and
+//! discovery.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,7 +14,7 @@
 use crate::placing::Placing;
 use crate::site_loss;
 
-/// The exchange.
+/// Tracks requests and attempts, and carries out the balancer's decisions.
 pub struct Exchange {
     pub(super) balancer: Balancer,
     pub(super) slack: Micros,
@@ -26,22 +27,24 @@
     pub(super) actions: Vec<Action>,
     pub(super) tally: Tally,
     pub(super) figures: Figures,
-    /// Names of the tenants, as in [`Figures::tenants`]; none where the settings name none.
+    /// Names of the tenants, in the order of [`Figures::tenants`]; empty where the settings name none.
     pub(super) tenants: Vec<String>,
-    /// What is done at the loss of a site, where operators have a plan for it. What it does is carried out by
-    /// `crate::proxy::sites`.
+    /// The operators' plan for the loss of a site, if there is one. `crate::proxy::sites` carries out its
+    /// actions.
     pub sites: Option<Sites>,
-    /// Which requests go to other proxies, where operators have a file on that.
+    /// Decides which requests go to other proxies, where operators have a placement file.
     pub placing: Option<Placing>,
-    /// Time that an answer takes from one proxy to another, at most.
+    /// The longest time that an answer takes from one proxy to another.
     pub(super) hop: Micros,
-    /// By class.
+    /// Indexed by class.
     pub(super) effects: Vec<Effect>,
-    /// By class.
+    /// Indexed by class.
     pub(super) retry_after: Vec<Option<Micros>>,
-    /// What is asked of the server side, of discovery, and of the client side.
+    /// Commands for the backend.
     pub orders: VecDeque<Order>,
+    /// Calls to discovery.
     pub asks: VecDeque<Ask>,
+    /// Answers for the frontend.
     pub answers: VecDeque<(RequestId, Answer)>,
 }
 
@@ -57,7 +60,7 @@
             slack: settings.rules.answer_slack,
             limits: AttemptLimits {
                 attempts: settings.allowed.attempts,
-                // One at a time here, whatever the settings allow.
+                // This proxy never runs two attempts of a request at once, whatever the settings allow.
                 second_copies: false,
                 margin: settings.tick,
             },
@@ -80,7 +83,8 @@
         }
     }
 
-    /// When a refused request of this class may come again, where the settings allow to say so.
+    /// The time after which a refused request of this class may be sent again, where the settings allow
+    /// stating it.
     pub(super) fn retry_after(&self, class: ClassId) -> Option<Micros> {
         self.retry_after.get(class.0).copied().flatten()
     }
--- a/crates/gradeshunt/src/exchange/summary.rs
+++ b/crates/gradeshunt/src/exchange/summary.rs
@@ -1,4 +1,4 @@
-//! Figures for operators, and the summary in the log.
+//! Metrics for operators, and the summary in the log.
 
 use slog::info;
 
@@ -7,14 +7,14 @@
 use crate::turn::Turn;
 
 impl Exchange {
-    /// The figures as they stand.
+    /// The current metrics.
     pub fn figures(&self) -> Figures {
         let t = self.balancer.targets();
         let concurrent = self.requests.values().filter(|r| !r.over).count() as u64;
         Figures { concurrent, targets: t.listed as u64, avoided: t.avoided as u64, ..self.figures.clone() }
     }
 
-    /// Sums up in the log what has come to pass since the last time.
+    /// Logs a summary of the time since the last one.
     pub fn sum_up(&mut self, turn: &Turn) {
         let t = std::mem::take(&mut self.tally);
         let endings: Vec<_> = t.endings.iter().map(|(name, n)| format!("{name}={n}")).collect();
--- a/crates/gradeshunt/src/exchange/tally.rs
+++ b/crates/gradeshunt/src/exchange/tally.rs
@@ -1,10 +1,10 @@
-//! What the summary in the log counts.
+//! Counters of the summary in the log.
 
 use std::collections::BTreeMap;
 
 use crate::figures::Count;
 
-/// What has come to pass since the last summary in the log.
+/// Counts since the last summary in the log.
 #[derive(Default)]
 pub(super) struct Tally {
     pub(super) requests: u32,
@@ -12,7 +12,7 @@
     pub(super) gone: u32,
     pub(super) gone_unsent: u32,
     pub(super) sent_after_gone: u32,
-    /// Requests whose wait was over when their turn came.
+    /// Requests whose client's wait time ended while they were queued.
     pub(super) expired_unsent: u32,
     pub(super) endings: BTreeMap<&'static str, u32>,
 }
--- a/crates/gradeshunt/src/exchange/tests.rs
+++ b/crates/gradeshunt/src/exchange/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the part named by the folder.
+//! Tests of the exchange's count of violated rules.
 
 use gradeshunt_placement::Source;
 use leadmast::invariant::Rule;
@@ -10,7 +10,7 @@
 const GROUP: GroupId = GroupId(0);
 const DEADLINE: Micros = 1_000_000;
 
-/// An exchange that knows two db hosts, and the order to start the first attempt of a write.
+/// An exchange with two listed db hosts and a submitted write; `first` is the write's first attempt.
 struct Play {
     exchange: Exchange,
     turn: Turn,
@@ -32,7 +32,7 @@
 }
 
 impl Exchange {
-    /// How attempts have ended so far, by name.
+    /// The number of attempts that have ended, by ending.
     pub(crate) fn endings(&self) -> Vec<(&'static str, u32)> {
         self.tally.endings.iter().map(|(name, count)| (*name, *count)).collect()
     }
@@ -43,16 +43,20 @@
         Play::open_with(None)
     }
 
-    /// Opens one whose write has another effect than its class.
+    /// Like `open`, with `effect` in place of the class's own effect.
     fn open_with(effect: Option<Effect>) -> Play {
-        let poll = calloop::EventLoop::<Ready>::try_new().expect("a poll");
+        let poll = calloop::EventLoop::<Ready>::try_new().expect("cannot create an event loop");
         let mut turn = Turn::new(poll.handle(), slog::Logger::root(slog::Discard, slog::o!()));
         turn.now = turn.clock.now();
-        let config = std::fs::read_to_string("../../examples/config.json").expect("the example");
-        let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
-        let mut settings = leadmast::settings::read(&config["settings"]).expect("settings").settings;
+        let config = std::fs::read_to_string("../../examples/config.json")
+            .expect("cannot read the example configuration");
+        let config: serde_json::Value =
+            serde_json::from_str(&config).expect("the example configuration is not JSON");
+        let mut settings = leadmast::settings::read(&config["settings"])
+            .expect("the example's settings are invalid")
+            .settings;
         let keyed = |class: &Class| matches!(class.effect, Effect::Keyed { .. });
-        let class = settings.classes.iter().position(keyed).expect("a write that may be repeated");
+        let class = settings.classes.iter().position(keyed).expect("the example has no keyed class");
         settings.classes[class].effect = effect.unwrap_or(settings.classes[class].effect);
         let mut exchange = Exchange::new(settings, Vec::new(), 7, turn.now);
         exchange.members(&mut turn, ListKind::Full, vec![entry(0), entry(1)]);
@@ -69,25 +73,26 @@
             body: Body::new(b"SELECT 1".to_vec(), None, Form::Value),
         };
         exchange.submit(&mut turn, call);
-        let first = next_start(&mut exchange).expect("an attempt");
+        let first = next_start(&mut exchange).expect("no attempt was started");
         Play { exchange, turn, first, _poll: poll }
     }
 
-    /// The first attempt is written and ends with an error, this becomes of its connection, and the next one is written.
+    /// Writes the first attempt, ends it with an error and `connection_end`, and writes the next one. Returns
+    /// the counted violations of the rule that only one attempt is out.
     fn repeat_behind(&mut self, connection_end: ConnectionEnd) -> u64 {
         self.exchange.dispatched(&self.turn, self.first, None);
         let trace = AttemptTrace { connection_end, ..AttemptTrace::default() };
         let ended =
             Ended { attempt: self.first, ending: Ending::Error, note: None, said: Said::Nothing, trace };
         self.exchange.ended(&mut self.turn, ended);
-        let repeat = next_start(&mut self.exchange).expect("another attempt");
+        let repeat = next_start(&mut self.exchange).expect("no further attempt was started");
         self.exchange.dispatched(&self.turn, repeat, None);
         self.exchange.figures().violations.of(Rule::OneAttempt)
     }
 }
 
-/// How many repeats are counted that must not be, where the first attempt of an unsafe write was handed over whole or not, and has ended
-/// so.
+/// Ends the first attempt of an unsafe write with `ending`, after it was written completely or not, and
+/// writes a repeat. Returns the counted violations of the rule on repeats.
 fn repeats_counted(is_written: bool, ending: Ending) -> u64 {
     let mut play = Play::open_with(Some(Effect::Unsafe));
     let written = is_written.then_some(play.turn.now);
@@ -101,17 +106,17 @@
     play.exchange.figures().violations.of(Rule::Repeat)
 }
 
-/// Guards the process's own count against writes that run twice: it judges by what was written and what the db host said, and not by the
-/// ending that the repeat followed.
+/// A repeat of an unsafe write must be counted as a violation whenever the earlier attempt was written and
+/// not refused, even if the attempt was reported with an ending that claims it did not run.
 #[test]
 fn repeat_of_an_unsafe_write_that_was_written_whole_is_counted_whatever_its_ending() {
     assert_eq!(repeats_counted(true, Ending::ConnectFailed), 1);
     assert_eq!(repeats_counted(true, Ending::Moot), 1);
-    assert_eq!(repeats_counted(true, Ending::Full), 0, "its db host has turned it away");
-    assert_eq!(repeats_counted(false, Ending::ConnectFailed), 0, "it was not written whole");
+    assert_eq!(repeats_counted(true, Ending::Full), 0, "its db host refused it");
+    assert_eq!(repeats_counted(false, Ending::ConnectFailed), 0, "it was not written completely");
 }
 
-/// The next attempt that the server side is to start.
+/// Returns the next attempt that the backend is ordered to start.
 fn next_start(exchange: &mut Exchange) -> Option<AttemptId> {
     std::iter::from_fn(|| exchange.orders.pop_front()).find_map(|order| match order {
         Order::Start { attempt, .. } => Some(attempt),
@@ -119,10 +124,10 @@
     })
 }
 
-/// Guards the process's own count against second copies that it does not see: an attempt that has ended here is out at its db host
-/// for as long as its connection waits for ReadyForQuery.
+/// An attempt whose connection waits for ReadyForQuery is still out at its db host, though it has ended in
+/// the exchange. A second attempt written in that time must be counted as a violation.
 #[test]
 fn repeat_beside_a_connection_that_awaits_ready_for_query_is_counted() {
     assert_eq!(Play::open().repeat_behind(ConnectionEnd::AwaitsReady), 1);
-    assert_eq!(Play::open().repeat_behind(ConnectionEnd::Kept), 0, "it has told ReadyForQuery");
+    assert_eq!(Play::open().repeat_behind(ConnectionEnd::Kept), 0, "ReadyForQuery has arrived");
 }
--- a/crates/gradeshunt/src/exchange/trace.rs
+++ b/crates/gradeshunt/src/exchange/trace.rs
@@ -1,31 +1,31 @@
-//! What became of each attempt of a request on its connection, told in the log where the request is sent again: whether an
-//! earlier attempt could still be out is seen there.
+//! Records how far each attempt of a request got on its connection. Logged when the request is sent again, to
+//! show whether an earlier attempt could still be out.
 
 use leadmast::{Ending, Micros};
 
 use crate::ids::ServerId;
 
-/// What became of the connection of an attempt when the attempt ended.
+/// The state of an attempt's connection when the attempt ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The attempt never had one.
+    /// The attempt had no connection.
     #[default]
     NeverHad,
-    /// It is used again.
+    /// The connection is used again.
     Kept,
-    /// It stays open until ReadyForQuery has come.
+    /// The connection stays open until ReadyForQuery arrives.
     AwaitsReady,
-    /// It was reset: the system drops what it holds.
+    /// The connection was reset, which makes the kernel drop unsent data.
     Reset,
 }
 
-/// The connection of an attempt, and how far it got there.
+/// An attempt's connection, and how far the attempt got on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptTrace {
     pub connection: Option<ServerId>,
-    /// When the attempt was leased it.
+    /// When the connection was assigned to the attempt.
     pub leased: Option<Micros>,
-    /// When the last byte was handed to the system.
+    /// When the last byte was passed to the kernel.
     pub written: Option<Micros>,
     pub connection_end: ConnectionEnd,
 }
@@ -40,7 +40,7 @@
 }
 
 impl EndedAttempt {
-    /// Whether it was handed over whole, and its db host has not turned it away.
+    /// Whether the attempt was written completely and its db host did not refuse it.
     pub(super) fn may_have_run(&self) -> bool {
         let was_turned_away = matches!(self.ending, Ending::Full | Ending::Miss);
         self.trace.written.is_some() && !was_turned_away
