--- a/crates/gradeshunt/src/backend.rs
+++ b/crates/gradeshunt/src/backend.rs
@@ -1,4 +1,4 @@
-//! The server side: connections to db hosts, their pool, attempts and probes.
+//! The backend: connections to db hosts and their pool, attempts and probes.
 
 mod connection;
 mod discard;
@@ -30,21 +30,21 @@
 use crate::pg::Malformed;
 use crate::turn::Turn;
 
-/// How long no byte of a long answer may move.
+/// A long answer is given up after this time without progress.
 const STALL_TIMEOUT: Micros = 5_000_000;
 
-/// The server side.
+/// Runs attempts and probes on connections to db hosts and, for forwarded requests, to other proxies.
 pub struct Backend {
     connections: Connections,
     fields: Vec<String>,
     most: usize,
-    /// Who the proxy is to others of its group.
+    /// The name by which the other proxies of the group know this one.
     own_name: String,
     hosts: BTreeMap<MemberId, Host>,
     servers: BTreeMap<ServerId, Server>,
     attempts: BTreeMap<AttemptId, (Micros, Place)>,
     probes: BTreeMap<MemberId, (Micros, Place)>,
-    /// Those that told a position before primaries had shown the distance of the clocks at the start.
+    /// Db hosts that reported a position before primaries had shown the offset between the clocks.
     unshown: Vec<MemberId>,
     next: u64,
 }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Holds `most` connections at most.
+    /// Sets the maximum number of connections, and closes idle ones above it.
     pub fn limit(&mut self, turn: &mut Turn, most: usize) {
         self.most = most;
         while self.servers.len() > most && self.close_oldest_idle(turn) {}
@@ -87,7 +87,7 @@
                 };
                 self.begin(turn, exchange, member, job);
             }
-            // One at a time: the one that is out answers for both.
+            // One probe at a time per db host: the one that is out answers this order too.
             Order::Probe(member) if self.probes.contains_key(&member) => {}
             Order::Probe(member) => {
                 self.begin(turn, exchange, member, Job::Probe { since: turn.now, written: None });
@@ -112,9 +112,9 @@
 
     // ---- Deadlines ----
 
-    /// An attempt has waited long enough.
+    /// The time limit of an attempt has passed.
     pub fn attempt_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: AttemptId) {
-        // A long answer that has begun is waited for as long as it moves.
+        // A long answer that has begun is read for as long as it makes progress.
         if let Some((until, Place::On(server))) = self.attempts.get_mut(&id) {
             let passed = self.servers.get(server).and_then(|s| match &s.stage {
                 Stage::Busy { reply, .. } => reply.passed,
@@ -134,7 +134,8 @@
 
     pub fn probe_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         let Some((_, place)) = self.probes.get(&member).copied() else { return };
-        // A machine that vanished leaves its connections open and silent: the pool's are no better.
+        // A machine that has vanished leaves its connections open but silent, and the pooled ones are no
+        // better than the probe's.
         self.close_idle(turn, member);
         self.cancel_job(turn, exchange, place, Ending::Timeout, |j| matches!(j, Job::Probe { .. }));
     }
@@ -142,7 +143,7 @@
     pub fn server_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         match self.servers.get(&id).map(|s| &s.stage) {
             Some(Stage::Starting { by }) if *by <= turn.now => {
-                self.connection_failed(turn, exchange, id, "not up in time")
+                self.connection_failed(turn, exchange, id, "connecting timed out")
             }
             Some(Stage::Idle { until, .. }) if *until <= turn.now => self.close(turn, id),
             Some(Stage::Busy { ready_by: Some(by), .. }) if *by <= turn.now => {
--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a db host: its stages, how it is opened and comes up, and how bytes are written to it.
+//! A connection to a db host: its stages, how it is opened, and how bytes are written to it.
 
 use std::collections::VecDeque;
 use std::io;
@@ -20,23 +20,24 @@
 use crate::ring::{Moved, Ring};
 use crate::turn::{Polled, Source, Turn};
 
-/// User and database that the proxy names to db hosts, which accept any.
+/// User and database of connections to db hosts, which accept any.
 const USER: &str = "portal";
 const DATABASE: &str = "crm";
-/// The share of a db host's idle time after which a connection is dropped here: well before the host drops
-/// it, or a request would be written to a connection that is just being closed.
+/// The fraction of the db hosts' idle time-out after which this side closes an idle connection: well before
+/// the db host does, so that no request is written to a connection that is just being closed.
 const IDLE_SHARE: f64 = 0.6;
 
-/// Errors that a connection remembers, in answers: a second copy that comes behind more than these is not known for one.
+/// Number of recent error answers that a connection remembers. A duplicate that arrives after more answers is
+/// not recognized.
 const ERRORS_KEPT: usize = 8;
 
-/// What the system is to hold at most of what is written to a db host. What it holds is out of the proxy's hands: a db host that
-/// reads nothing gets it whenever it reads on, however late that is.
+/// Size of the kernel's send buffer for a connection to a db host. The proxy cannot withdraw bytes in it: a
+/// db host that has stopped reading receives them whenever it reads again, however late.
 const SEND_BUFFER: usize = 32 * 1024;
 
 #[derive(Debug)]
 pub(super) enum Stage {
-    /// Coming up: connecting, then exchanging startup messages.
+    /// Connecting, then exchanging startup messages.
     Starting {
         by: Micros,
     },
@@ -47,35 +48,38 @@
     Busy {
         job: Job,
         reply: Reply,
-        /// By when ReadyForQuery has to follow an answer that is whole.
+        /// The time by which ReadyForQuery must follow a complete answer.
         ready_by: Option<Micros>,
     },
-    /// Its attempt was given up and its sending is ended; the attempt counts as out until the db host has ended the connection too.
+    /// Its attempt was given up and the sending direction is shut down. The attempt counts as out until the
+    /// db host has closed the connection too.
     Ending {
         given_up: GivenUp,
         by: Micros,
     },
-    /// Its job was taken from it; it is reset at once. What the system holds of the request is not delivered any more.
+    /// Its job was taken, and it is about to be reset, so that the kernel does not deliver the rest of the
+    /// request.
     Spent,
-    /// Its job has ended with a whole answer; ReadyForQuery is still to come.
+    /// Its job has ended with a complete answer, and ReadyForQuery is still to come.
     Trailing {
         by: Micros,
     },
 }
 
-/// How far the request of a busy connection is written.
+/// How far a busy connection's request has been written.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Sending {
-    /// The time that it tells its db host, and until when that is true enough.
+    /// The wait time that the statement states to the db host, rounded as it is written.
     pub(super) told: Option<Micros>,
+    /// The time until which the stated wait time is accurate enough.
     pub(super) told_until: Option<Micros>,
-    /// Its first byte is written.
+    /// Whether its first byte has been written.
     pub(super) begun: bool,
 }
 
-/// Why a request could not be written to its end.
+/// Why a request could not be written completely.
 pub(super) enum Unwritten {
-    /// A rule forbids it: nothing of it has run.
+    /// A rule forbids it; nothing of the request has run.
     Denied(AttemptDenial),
     Broken(io::Error),
 }
@@ -83,30 +87,31 @@
 pub(super) struct Server {
     pub(super) polled: Polled,
     pub(super) member: MemberId,
-    /// Where it leads to: its db host may be listed elsewhere since.
+    /// The address it is connected to. Its db host may be listed under another one by now.
     pub(super) addr: SocketAddr,
     pub(super) inbound: Ring,
     pub(super) outbound: Ring,
     pub(super) stage: Stage,
     pub(super) sending: Sending,
-    /// The latest errors that were answers here, with the positions that they told.
+    /// The latest error answers on this connection, with the positions that they reported.
     pub(super) errors: VecDeque<(String, f64)>,
-    /// What tells the latest answers here from others.
+    /// Digests of the latest answers on this connection.
     pub(super) answers: VecDeque<u64>,
-    /// A request or a probe was written here.
+    /// Whether a request or a probe has been written to this connection.
     pub(super) has_carried_request: bool,
-    /// An empty query that is out.
+    /// The empty query that is not answered yet, if any.
     pub(super) marker: Option<SyncMarker>,
 }
 
 impl Server {
-    /// Whether a reply is the same as an error that was an answer here before. Positions move on as a rule, so one that stands still between
-    /// two errors may be a copy's, which tells nothing of its request.
+    /// Whether a reply equals an earlier error answer on this connection, including its position. Positions
+    /// usually advance, so that an error with an unchanged position may be a duplicate, which says nothing
+    /// about its request.
     pub(super) fn repeats_error(&self, reply: &Reply) -> bool {
         reply.told_error().is_some_and(|error| self.errors.contains(&error))
     }
 
-    /// Remembers an answer, whose second copy may come behind other answers.
+    /// Remembers an answer, so that a duplicate that arrives after other answers is recognized.
     fn remember(&mut self, reply: &Reply) {
         self.remember_answer(reply);
         self.errors.extend(reply.told_error());
@@ -115,13 +120,13 @@
         }
     }
 
-    /// Whether some of what was written here has not left this machine: an answer that comes before is early, and the rest must not
-    /// follow it.
+    /// Whether bytes written to this connection have not left this machine. An answer that arrives before
+    /// that is early, and the rest must not be sent after it.
     pub(super) fn has_more_to_send(&self) -> bool {
         !self.outbound.is_empty() || self.polled.holds_unsent()
     }
 
-    /// Whether some of its job has not left this machine.
+    /// Whether part of its job has not left this machine.
     pub(super) fn holds_unsent_job(&self) -> bool {
         match &self.stage {
             Stage::Busy { job, .. } => !job.is_written() || self.polled.holds_unsent(),
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Whether a long row is being passed on.
+    /// Whether a long answer is being passed on in parts.
     pub(super) fn is_passing(&self) -> bool {
         match &self.stage {
             Stage::Busy { reply, .. } => matches!(reply.shape, Shape::Passing(_)) || reply.is_full(),
@@ -174,7 +179,8 @@
         Ok(())
     }
 
-    /// A connection has come up, or answered: its job ends, and the oldest waiting one gets it, or else the pool.
+    /// A connection has been established or has received an answer. Ends its job, and uses it for the oldest
+    /// waiting job, or else pools it.
     pub(super) fn connection_ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some((member, former)) = self.make_idle(turn, id) else { return };
         let has_rest = self.has_rest_of_request(id, &former);
@@ -192,7 +198,7 @@
         self.write_oldest_waiting(turn, exchange, member, id);
     }
 
-    /// Takes a connection into the pool; its db host, and its stage until now.
+    /// Puts a connection into the pool. Returns its db host and its previous stage.
     fn make_idle(&mut self, turn: &mut Turn, id: ServerId) -> Option<(MemberId, Stage)> {
         let s = self.servers.get_mut(&id)?;
         let member = s.member;
@@ -213,16 +219,18 @@
         Some((member, former))
     }
 
-    /// Whether bytes written before would follow on a connection that is used again. An answer may come before its request is written
-    /// whole: the rest must not follow. The system is asked only behind errors: a value was made from the whole request.
+    /// Whether bytes of the last request would still be sent if the connection were used again. An answer may
+    /// arrive before its request is written completely, and the rest must not be sent. The kernel is asked
+    /// only after errors: a value is made from the complete request.
     fn has_rest_of_request(&self, id: ServerId, former: &Stage) -> bool {
         let is_error = matches!(former, Stage::Busy { reply, .. } if reply.error.is_some());
         let holds_rest = |s: &Server| !s.outbound.is_empty() || (is_error && s.has_more_to_send());
         self.servers.get(&id).is_some_and(holds_rest)
     }
 
-    /// Closes a connection that may not carry another request; whether it may. What comes behind an answer belongs to no request, least of
-    /// all to the next. The answer before it stands; the connection is of no further use.
+    /// Closes a connection that may not be used for another request; returns whether it may. Bytes after an
+    /// answer belong to no request, least of all to the next one: the answer before them is valid, but the
+    /// connection cannot be used again.
     fn keep_if_reusable(&mut self, turn: &mut Turn, id: ServerId) -> bool {
         let has_surplus = self.servers.get(&id).is_none_or(|s| !s.inbound.is_empty());
         if has_surplus || self.reuse_denial(turn.now, id).is_some() {
@@ -232,7 +240,7 @@
         true
     }
 
-    /// The oldest job that waits for a connection gets this one, if it may still be written.
+    /// Writes the oldest waiting job that may still be written to this connection.
     fn write_oldest_waiting(
         &mut self,
         turn: &mut Turn,
@@ -241,7 +249,8 @@
         id: ServerId,
     ) {
         while let Some(job) = self.hosts.get_mut(&member).and_then(|h| h.waiting.pop_front()) {
-            // Events are worked off before deadlines: its own may have passed while the connection came up.
+            // Events are handled before deadlines, so that the job's own deadline may have passed while the
+            // connection was being opened.
             if let Some(denial) = self.job_denial(turn.now, member, &job) {
                 self.end_denied(turn, exchange, member, job, denial);
                 continue;
@@ -251,7 +260,7 @@
         }
     }
 
-    /// Writes what is to be written, as far as the connection takes it and the rules permit it at that moment.
+    /// Writes outbound bytes as far as the connection takes them and the rules permit at that moment.
     pub(super) fn flush(
         &mut self,
         turn: &mut Turn,
@@ -266,14 +275,15 @@
             match s.outbound.drain(&s.polled.socket) {
                 Ok(Moved::Some(_)) => self.note_written(turn, exchange, id),
                 Ok(_) => return Ok(()),
-                // Still connecting.
+                // The connection is not established yet.
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(()),
                 Err(e) => return Err(Unwritten::Broken(e)),
             }
         }
     }
 
-    /// Bytes of a job were written: maybe its first, maybe its last. What is written behind its last is the proxy's own.
+    /// Records that bytes of a job were written, possibly its first or last ones. Bytes after its last one
+    /// are the proxy's own.
     fn note_written(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         let Stage::Busy { job, .. } = &mut s.stage else { return };
@@ -296,8 +306,8 @@
         }
     }
 
-    /// Looks at an attempt at this time, where nothing of it falls due before: what the system still holds then tells its db host too
-    /// much time.
+    /// Moves an attempt's deadline forward to `by`. From then on, bytes that are still in the kernel's send
+    /// buffer state too long a wait time to the db host.
     fn look_by(&mut self, turn: &mut Turn, attempt: AttemptId, by: Option<Micros>) {
         let (Some(by), Some((due, _))) = (by, self.attempts.get_mut(&attempt)) else { return };
         if by < *due {
--- a/crates/gradeshunt/src/backend/discard.rs
+++ b/crates/gradeshunt/src/backend/discard.rs
@@ -1,13 +1,14 @@
-//! What comes on a connection before the answer to an empty query that was written before a request: it belongs to no request, and is
-//! read over, however long it is.
+//! Discards what arrives before the answer to the empty query that precedes a request: it belongs to no
+//! request, however long it is.
 
 use crate::pg::{self, Malformed};
 use crate::ring::Ring;
 
-/// The most that is read over: more is no second copy of an answer.
+/// Bytes that are discarded at most: a duplicate of an answer is not longer.
 const MOST_DISCARDED: usize = 2 * pg::LONGEST_ROW;
 
-/// How much was read over, and what is still to come of the message that is being read over.
+/// Progress of discarding: bytes left of the current message, bytes discarded, and complete answers
+/// discarded.
 #[derive(Debug, Default)]
 pub(super) struct Discard {
     left: usize,
@@ -15,22 +16,22 @@
     answers: u32,
 }
 
-/// Where reading over has come to.
+/// How far discarding got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Discarded {
-    /// More has to come.
+    /// All available bytes were discarded, and more must arrive.
     AllThatCame,
-    /// EmptyQueryResponse stands next.
+    /// EmptyQueryResponse is the next message.
     UpToMarker,
 }
 
 impl Discard {
-    /// Whether a whole answer was read over.
+    /// Whether a complete answer was discarded.
     pub(super) fn has_answer(&self) -> bool {
         self.answers > 0
     }
 
-    /// Reads over what has come, up to an EmptyQueryResponse.
+    /// Discards the available bytes up to an EmptyQueryResponse.
     pub(super) fn take(&mut self, inbound: &mut Ring) -> Result<Discarded, Malformed> {
         loop {
             let taken = self.left.min(inbound.len());
@@ -48,7 +49,7 @@
             self.answers += u32::from(tag == b'Z');
             self.discarded += size;
             if self.discarded > MOST_DISCARDED {
-                return Err(Malformed("too much before an empty query's answer"));
+                return Err(Malformed("too much data before the answer to an empty query"));
             }
             self.left = size;
         }
--- a/crates/gradeshunt/src/backend/ending.rs
+++ b/crates/gradeshunt/src/backend/ending.rs
@@ -1,7 +1,9 @@
-//! Connections whose attempt was given up: their sending is ended, and the attempt counts as out until the db host has ended its own.
+//! Connections whose attempt was given up. The proxy shuts down its sending direction, and the attempt counts
+//! as out until the db host has closed its own direction.
 //!
-//! TCP orders nothing between two connections. A db host that has ended a connection has worked off the end of the attempt there; of one
-//! that has not, another connection's bytes may be worked off first, and two attempts of a request be out to it.
+//! TCP does not order bytes of different connections. A db host that has closed a connection has noticed the
+//! end of the attempt there. Otherwise it may handle another connection's bytes first, and see two attempts
+//! of one request at once.
 
 use std::net::Shutdown;
 
@@ -17,10 +19,11 @@
 use crate::ids::ServerId;
 use crate::turn::{Source, Turn};
 
-/// How long a db host's own end is awaited. One that is hung, or works on without reading, shows none.
+/// Time to wait for the db host to close its side. A db host that hangs, or works without reading, never
+/// does.
 pub(super) const HOST_END_TIMEOUT: Micros = 10_000;
 
-/// An attempt that was given up, as it will be told to the exchange.
+/// An attempt that was given up, as it will be reported to the exchange.
 #[derive(Debug)]
 pub(super) struct GivenUp {
     pub(super) job: Job,
@@ -29,15 +32,16 @@
 }
 
 impl Server {
-    /// Ends the sending of a connection, if all of its request has left this machine: the end would otherwise deliver the rest.
+    /// Shuts down the sending direction, if all of the request has left this machine: otherwise the shutdown
+    /// would deliver the rest.
     fn end_sending(&self) -> bool {
         !self.has_more_to_send() && self.polled.socket.shutdown(Shutdown::Write).is_ok()
     }
 }
 
 impl Backend {
-    /// Gives up an attempt that was taken from its connection. Where another may follow it ends with the db host's own end of the
-    /// connection; else, or where that is late, with a reset.
+    /// Gives up an attempt that was taken from its connection. Where another attempt may follow, it ends once
+    /// the db host has closed the connection; else, or if the db host takes too long, with a reset.
     pub(super) fn end_with_connection(
         &mut self,
         turn: &mut Turn,
@@ -55,14 +59,16 @@
         s.stage = Stage::Ending { given_up, by };
         if awaits_end {
             turn.deadlines.set(by, Due::Server(id));
-            // Its end may stand unread already, and is not told again.
+            // The db host's end may already have been signalled without having been read; it is not signalled
+            // again.
             turn.again.push(Source::Server(id));
         } else {
             self.finish_ending(turn, exchange, id);
         }
     }
 
-    /// The db host has ended the connection of an attempt that was given up, or shows no end: it is reset, and the attempt is over.
+    /// The db host has closed the connection of an attempt that was given up, or has not done so in time:
+    /// resets the connection and ends the attempt.
     pub(super) fn finish_ending(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         let member = s.member;
@@ -71,7 +77,7 @@
             other => return s.stage = other,
         };
         turn.deadlines.clear(by, Due::Server(id));
-        debug!(turn.log, "connection of an attempt that was given up has ended"; "member" => member.0,
+        debug!(turn.log, "connection of an abandoned attempt ended"; "member" => member.0,
             "awaited_us" => turn.clock.now() - (by - HOST_END_TIMEOUT));
         self.close(turn, id);
         let GivenUp { job, ending, reply } = given_up;
--- a/crates/gradeshunt/src/backend/failures.rs
+++ b/crates/gradeshunt/src/backend/failures.rs
@@ -1,4 +1,4 @@
-//! Connections to db hosts that fail: what becomes of their jobs.
+//! Failed connections to db hosts, and what happens to their jobs.
 
 use leadmast::{Ending, MemberId};
 use slog::info;
@@ -14,7 +14,7 @@
 use crate::turn::Turn;
 
 impl Backend {
-    /// A connection has broken, or can't be used any more.
+    /// Handles a connection that has failed or cannot be used any more.
     pub(super) fn connection_failed(
         &mut self,
         turn: &mut Turn,
@@ -41,8 +41,8 @@
         }
     }
 
-    /// What came is malformed. The request has run, for all that is known; nothing of it is believed, and the
-    /// connection is of no further use. One such answer does not make a db host unhealthy.
+    /// Handles a malformed answer. The request may have run; nothing of the answer is used, and the
+    /// connection is given up. A single malformed answer does not make a db host unhealthy.
     pub(super) fn answer_malformed(
         &mut self,
         turn: &mut Turn,
@@ -53,7 +53,7 @@
         let Some((member, job, reply)) = self.take_job(id) else {
             return self.connection_failed(turn, exchange, id, what);
         };
-        info!(turn.log, "db host's answer is spoilt"; "member" => member.0, "what" => what);
+        info!(turn.log, "malformed answer from a db host"; "member" => member.0, "what" => what);
         let (ending, reply) = match reply.ending() {
             Some(ending) => (ending, reply),
             None => (job.ending_without_answer(Ending::Error, Ending::ConnectFailed), Reply::default()),
@@ -61,15 +61,16 @@
         self.end_with_connection(turn, exchange, id, GivenUp { job, ending, reply });
     }
 
-    /// What is or may be a second copy of an earlier error has come in place of an answer. It says nothing of its request, which may be at work yet.
+    /// Handles a duplicate, or possible duplicate, of an earlier error in place of an answer. It says nothing
+    /// about its request, which may still be running.
     pub(super) fn answer_copied(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some((member, job, reply)) = self.take_job(id) else { return };
         self.end_with_connection(turn, exchange, id, GivenUp { job, ending: Ending::Error, reply });
         self.fail_surplus_job(turn, exchange, member, Ending::ConnectFailed);
     }
 
-    /// Takes the job from a busy connection, with what has come of its reply: a second copy of an earlier answer is none, and what may
-    /// be one neither.
+    /// Takes the job from a busy connection, with what has arrived of its reply. An answer that is or may be
+    /// a duplicate of an earlier one is dropped.
     pub(super) fn take_job(&mut self, id: ServerId) -> Option<(MemberId, Job, Reply)> {
         let s = self.servers.get_mut(&id)?;
         match std::mem::replace(&mut s.stage, Stage::Spent) {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The db host has answered the startup with an error.
+    /// Handles an error in answer to the startup message.
     pub(super) fn startup_refused(
         &mut self,
         turn: &mut Turn,
@@ -95,7 +96,7 @@
         code: &str,
     ) {
         let member = self.servers.get(&id).map_or(0, |s| s.member.0);
-        info!(turn.log, "db host turned a connection away"; "member" => member, "code" => code);
+        info!(turn.log, "db host refused a connection"; "member" => member, "code" => code);
         let ending = match code {
             sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW => Ending::Full,
             _ => Ending::ConnectFailed,
@@ -103,14 +104,15 @@
         self.startup_failed(turn, exchange, id, ending);
     }
 
-    /// A connection did not come up: the oldest job goes with it, unless others still come up for all.
+    /// Handles a connection that could not be established: ends the oldest waiting job too, unless enough
+    /// other connections are still being opened.
     fn startup_failed(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId, ending: Ending) {
         let Some(member) = self.servers.get(&id).map(|s| s.member) else { return };
         self.close(turn, id);
         self.fail_surplus_job(turn, exchange, member, ending);
     }
 
-    /// Ends the oldest waiting job where fewer connections come up than jobs wait.
+    /// Ends the oldest waiting job if fewer connections are being opened than jobs wait.
     pub(super) fn fail_surplus_job(
         &mut self,
         turn: &mut Turn,
--- a/crates/gradeshunt/src/backend/hosts.rs
+++ b/crates/gradeshunt/src/backend/hosts.rs
@@ -1,4 +1,4 @@
-//! The db hosts: what discovery and operators say of each, and whether it takes jobs.
+//! The db hosts: their state according to discovery and operators, and whether they accept jobs.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -16,28 +16,28 @@
 use crate::position::PositionReader;
 use crate::turn::Turn;
 
-/// Whether anything new may go to a db host.
+/// Whether new jobs may go to a db host, according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Standing {
     Open,
     Draining,
-    /// Not listed any more: it is forgotten once nothing of ours is left there.
+    /// No longer listed; removed once no connection to it is left.
     Gone,
 }
 
 pub(super) struct Host {
     pub(super) addr: SocketAddr,
     standing: Standing,
-    /// Since when the list says that it takes nothing new.
+    /// The time since which discovery has listed it as draining, or has not listed it any more.
     pub(super) closed_since: Option<Micros>,
-    /// Operators hold it out, whatever the list says.
+    /// Whether operators hold it out, regardless of discovery.
     pub(super) held_out: bool,
-    /// The most recently used last.
+    /// Idle connections, the most recently used last.
     pub(super) idle: Vec<ServerId>,
     pub(super) starting: usize,
-    /// All connections to it.
+    /// Number of all connections to it.
     pub(super) servers: usize,
-    /// When connections are tried again for which the system lacked something.
+    /// When connections are retried that failed for lack of system resources.
     pub(super) connect_at: Option<Micros>,
     /// Jobs that wait for a connection, oldest first.
     pub(super) waiting: VecDeque<Job>,
@@ -45,7 +45,8 @@
 }
 
 impl Host {
-    /// A position that it has told now, as Unix time in milliseconds, on the proxy's clock; `None` for one that is not believed.
+    /// Converts a position that the db host has just reported, in Unix milliseconds, to the proxy's clock;
+    /// `None` if it is not plausible.
     pub(super) fn position(&mut self, turn: &mut Turn, ms: f64, primary: Option<bool>) -> Option<Micros> {
         let (now, own_error) = (turn.clock.now(), turn.clock.own_error());
         let position = self.positions.read(&mut turn.clock, now, ms, primary);
@@ -55,14 +56,14 @@
         position
     }
 
-    /// What a reply says of it.
+    /// The db host's position and role according to a reply.
     pub(super) fn note(&mut self, turn: &mut Turn, reply: &Reply) -> Option<Note> {
         let primary = reply.primary?;
         let position = reply.position.and_then(|ms| self.position(turn, ms, reply.primary));
         Some(Note { position, primary })
     }
 
-    /// How it stands for new work.
+    /// Whether it accepts new jobs, and why not.
     pub(super) fn standing(&self) -> HostStanding {
         match self.standing {
             Standing::Gone => HostStanding::Gone,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The list says so from now on.
+    /// Sets the standing according to discovery.
     fn set_standing(&mut self, now: Micros, standing: Standing) {
         self.standing = standing;
         self.closed_since = match standing {
@@ -82,9 +83,9 @@
     }
 }
 
-/// A db host as discovery tells of it.
+/// A db host as listed by discovery.
 pub struct Listed {
-    /// Its name, which stays when a number is given back.
+    /// Its name, which remains the same when its member number is reused.
     pub id: String,
     pub member: MemberId,
     pub addr: SocketAddr,
@@ -92,13 +93,14 @@
 }
 
 impl Backend {
-    /// Takes over what discovery tells. A host that drains or is gone loses its idle connections and all that
-    /// still waits for one: a send may not follow a connect that takes until after the grace.
+    /// Applies a list from discovery. The idle connections of a host that drains or is gone are closed, and
+    /// the jobs that wait for a connection to it end: nothing may be sent on a connection that is established
+    /// only after the drain grace.
     pub fn list(&mut self, turn: &mut Turn, exchange: &mut Exchange, kind: ListKind, listed: &[Listed]) {
         let mut closed = Vec::new();
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             let all: BTreeSet<_> = listed.iter().map(|l| l.member).collect();
-            // Other proxies are none of discovery's db hosts.
+            // Other proxies are members too, but are not listed by discovery.
             let missing = |m: &MemberId| !all.contains(m) && !is_peer(*m);
             for (member, host) in self.hosts.iter_mut().filter(|(m, _)| missing(m)) {
                 host.set_standing(turn.now, Standing::Gone);
@@ -112,7 +114,7 @@
                 Phase::Removed => Standing::Gone,
             };
             let moved = self.take_over(turn, l.member, l.addr, standing);
-            // Where it has moved, what waits for a connection to the former address starts anew.
+            // If the host has moved, jobs that wait for a connection to its former address end as well.
             if standing != Standing::Open || moved {
                 closed.push(l.member);
             }
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Takes over the other proxies of the group. Those that are not named any more get nothing new.
+    /// Sets the other proxies of the group. Those that are no longer named get nothing new.
     pub fn set_peers(&mut self, turn: &mut Turn, exchange: &mut Exchange, own_name: &str, peers: &[Peer]) {
         own_name.clone_into(&mut self.own_name);
         let named: BTreeSet<_> = peers.iter().map(|peer| peer.member).collect();
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Takes over where a host is and how it stands; true where it has moved.
+    /// Sets a host's address and standing; returns whether the address has changed.
     fn take_over(&mut self, turn: &Turn, member: MemberId, addr: SocketAddr, standing: Standing) -> bool {
         let host = self.hosts.entry(member).or_insert_with(|| Host {
             addr,
@@ -158,7 +160,7 @@
         });
         let moved = host.addr != addr;
         if moved || host.standing != standing {
-            debug!(turn.log, "db host stands otherwise"; "addr" => addr.to_string(), "now" => ?standing,
+            debug!(turn.log, "db host's address or standing changed"; "addr" => addr.to_string(), "now" => ?standing,
                 "before" => ?host.standing, "member" => member.0);
         }
         host.addr = addr;
@@ -166,7 +168,7 @@
         moved
     }
 
-    /// Operators hold a db host out, or readmit it.
+    /// Holds a db host out or readmits it, on behalf of operators.
     pub fn maintain(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId, out: bool) {
         let Some(host) = self.hosts.get_mut(&member) else { return };
         host.held_out = out;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Ends what waits for a connection to a host, and closes its idle ones.
+    /// Ends the jobs that wait for a connection to a host, and closes the host's idle connections.
     fn stop(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         let Some(host) = self.hosts.get_mut(&member) else { return };
         for job in std::mem::take(&mut host.waiting) {
@@ -184,8 +186,9 @@
         self.close_idle(turn, member);
     }
 
-    /// Takes note where a db host has told a position that can't be believed yet, and tells all of those once they can be: a process
-    /// that has just started would ask again, and hold its first reads for that.
+    /// Records that a db host has reported a position that cannot be verified yet, and reports all such
+    /// positions to the exchange once they can be. Otherwise a process that has just started would have to
+    /// probe again, and would delay its first reads for that.
     pub(super) fn tell_unshown(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         if self.hosts.get(&member).is_some_and(|host| host.positions.holds_unshown()) {
             self.unshown.push(member);
@@ -205,7 +208,8 @@
         }
     }
 
-    /// Guards a long life's memory: hosts are replaced by others under new names, again and again.
+    /// Removes a host that is gone and has no connections. Without this, memory would grow without bound as
+    /// hosts are replaced by others under new names.
     pub(super) fn forget_if_gone(&mut self, member: MemberId) {
         let gone = |h: &Host| h.standing == Standing::Gone && h.servers == 0;
         if self.hosts.get(&member).is_some_and(gone) {
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -1,4 +1,5 @@
-//! Jobs for db hosts, attempts and probes: how each begins, is written to a connection, is given up and ends.
+//! Jobs for db hosts, which are attempts and probes: how a job begins, is written to a connection, is given
+//! up and ends.
 
 use std::io;
 use std::rc::Rc;
@@ -23,10 +24,10 @@
 use crate::placing::is_peer;
 use crate::turn::Turn;
 
-/// A process may be held up for this long between reading its clock and writing.
+/// Time for which the process may be suspended between reading its clock and writing.
 const HELD_UP: Micros = 150_000;
 
-/// What a connection is used for.
+/// A use of a connection.
 #[derive(Debug)]
 pub(super) enum Job {
     Attempt {
@@ -34,19 +35,19 @@
         body: Rc<Body>,
         since: Micros,
         until: Micros,
-        /// Until when it may be written at all; afterwards it may only end.
+        /// The time after which nothing of it may be written; it may still be answered.
         write_by: Micros,
         trace: Box<AttemptTrace>,
     },
     Probe {
         since: Micros,
-        /// When its last byte was handed to the system.
+        /// When its last byte was passed to the kernel.
         written: Option<Micros>,
     },
 }
 
 impl Job {
-    /// Notes that its last byte was handed to the system.
+    /// Records when its last byte was passed to the kernel.
     pub(super) fn note_written(&mut self, at: Micros) {
         match self {
             Job::Attempt { trace, .. } => trace.written = Some(at),
@@ -54,8 +55,9 @@
         }
     }
 
-    /// Whether its last byte was handed to the system: until then its db host can't have run it, from then on it may have. The buffer of
-    /// its connection tells neither, for the proxy writes messages of its own there.
+    /// Whether its last byte was passed to the kernel. Before, the db host cannot have run it; afterwards it
+    /// may have. The connection's outbound buffer does not show this, since the proxy also writes messages of
+    /// its own there.
     pub(super) fn is_written(&self) -> bool {
         match self {
             Job::Attempt { trace, .. } => trace.written.is_some(),
@@ -63,7 +65,8 @@
         }
     }
 
-    /// How it ends where it was written; before, nothing of it can have run, and it ends as `unwritten`.
+    /// The ending of a job without an answer: `written` if the job was written completely, else `unwritten`,
+    /// since nothing of it can have run.
     pub(super) fn ending_without_answer(&self, written: Ending, unwritten: Ending) -> Ending {
         if self.is_written() {
             written
@@ -72,7 +75,7 @@
         }
     }
 
-    /// It ends, and this becomes of its connection.
+    /// Records the state of its connection at its end.
     pub(super) fn leave_connection(&mut self, end: ConnectionEnd) {
         if let Job::Attempt { trace, .. } = self {
             trace.connection_end = end;
@@ -80,7 +83,7 @@
     }
 }
 
-/// Where a job stands.
+/// The place of a job: in a db host's queue for a connection, or on a connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Place {
     Waiting(MemberId),
@@ -112,7 +115,7 @@
         self.open_for_waiting(turn, exchange, member);
     }
 
-    /// Why a job may not begin, or its connection not be used for it.
+    /// Why a job may not begin or be written to a connection, or `None` if it may.
     pub(super) fn job_denial(&self, now: Micros, member: MemberId, job: &Job) -> Option<AttemptDenial> {
         let host = self.hosts.get(&member).map_or(HostStanding::Unknown, Host::standing);
         let allowed = match job {
@@ -125,7 +128,7 @@
         allowed.err()
     }
 
-    /// Why more of the request of a connection may not be written.
+    /// Why the rest of a connection's request may not be written, or `None` if it may.
     pub(super) fn write_denial(&self, now: Micros, id: ServerId) -> Option<AttemptDenial> {
         let s = self.servers.get(&id)?;
         let Stage::Busy { job, .. } = &s.stage else { return None };
@@ -138,7 +141,7 @@
         may_write(now, &WriteFacts { until: *until, write_by: *write_by, told_until, begun, host }).err()
     }
 
-    /// A job ends that was not written, or not to its end.
+    /// Ends a job that was not written or not written completely.
     pub(super) fn end_denied(
         &mut self,
         turn: &mut Turn,
@@ -153,7 +156,7 @@
         self.end(turn, exchange, member, job, Ending::Moot, Reply::default());
     }
 
-    /// The request of a connection can't be written to its end.
+    /// Handles a request that cannot be written completely.
     pub(super) fn unwritten(
         &mut self,
         turn: &mut Turn,
@@ -165,7 +168,7 @@
             Unwritten::Broken(e) => self.connection_failed(turn, exchange, id, &e.to_string()),
             Unwritten::Denied(denial) => {
                 let Some((member, job, _)) = self.take_job(id) else { return };
-                info!(turn.log, "attempt not written to its end"; "member" => member.0, "why" => denial.name());
+                info!(turn.log, "attempt not fully written"; "member" => member.0, "why" => denial.name());
                 self.close(turn, id);
                 self.end_denied(turn, exchange, member, job, denial);
             }
@@ -192,7 +195,7 @@
                 let now = turn.clock.now();
                 let Telling { told, holds_for } = time_to_tell(*until - now, body.len());
                 let told_ms = (told / 1000).max(1);
-                // Of a plain statement the db host is told nothing.
+                // A plain statement does not tell the db host how long the client waits.
                 if body.tells_wait() {
                     let told_until = Some(now + holds_for);
                     sending = Sending { told: Some(told_ms * 1000), told_until, begun: false };
@@ -227,8 +230,8 @@
         }
     }
 
-    /// Whether nothing of an attempt can have reached its db host as a whole statement yet: what the system has taken of it arrives
-    /// only once the db host reads.
+    /// Whether the db host cannot have received an attempt completely yet: bytes in the kernel's send buffer
+    /// arrive only once the db host reads.
     pub(super) fn is_unsent(&self, id: AttemptId) -> bool {
         match self.attempts.get(&id) {
             Some((_, Place::Waiting(_))) => true,
@@ -237,7 +240,8 @@
         }
     }
 
-    /// An attempt whose window ends, or the time that it tells, may go on if it has arrived by then; until when it is waited for.
+    /// The time until which an attempt is waited for if it has been sent completely. Such an attempt may
+    /// outlast the window for writing it and the wait time that its statement states.
     pub(super) fn goes_on_until(&self, now: Micros, id: AttemptId) -> Option<Micros> {
         let (_, Place::On(server)) = self.attempts.get(&id)? else { return None };
         let Stage::Busy { job: Job::Attempt { until, .. }, .. } = &self.servers.get(server)?.stage else {
@@ -246,7 +250,7 @@
         (now < *until && !self.is_unsent(id)).then_some(*until)
     }
 
-    /// Stops waiting for an attempt, whose connection can't be used again.
+    /// Stops waiting for an attempt. Its connection cannot be used again.
     pub(super) fn give_up(
         &mut self,
         turn: &mut Turn,
@@ -277,9 +281,9 @@
                 let Some(host) = self.hosts.get_mut(&member) else { return };
                 let Some(at) = host.waiting.iter().position(is_it) else { return };
                 let Some(job) = host.waiting.remove(at) else { return };
-                // Its connection goes on coming up, for the next one. Of an attempt nothing was sent.
+                // Its connection keeps connecting, for the next job. Nothing of an attempt was sent.
                 let ending = match job {
-                    // It waited for this machine, and tells nothing of the db host.
+                    // The job waited for this machine's resources, which says nothing about the db host.
                     _ if host.connect_at.is_some() => Ending::Moot,
                     Job::Probe { .. } => ending,
                     Job::Attempt { since, .. } => {
@@ -290,9 +294,9 @@
             }
             Place::On(id) => {
                 let Some((member, job, reply)) = self.take_job(id) else { return };
-                // What is whole counts, though ReadyForQuery is still missing.
+                // A complete answer counts even though ReadyForQuery is missing.
                 let ends = reply.ending().unwrap_or(job.ending_without_answer(ending, Ending::Moot));
-                // Nobody waits for what was called off, and no other attempt follows it.
+                // Nobody waits for a cancelled attempt, and no other attempt follows it.
                 if ending == Ending::Cancelled {
                     self.close(turn, id);
                     return self.end(turn, exchange, member, job, ends, reply);
@@ -302,7 +306,7 @@
         }
     }
 
-    /// The one place where a job ends: with one outcome.
+    /// Ends a job and reports its one outcome. All jobs end here.
     pub(super) fn end(
         &mut self,
         turn: &mut Turn,
@@ -334,7 +338,8 @@
                     Ending::Full if reply.error.is_some() => {
                         Said::Refused { retry_after: pg::retry_after(&reply.bytes) }
                     }
-                    // A spoilt answer says nothing: handed on, it would leave the client without a word.
+                    // A malformed answer is not passed on: its error message may be incomplete, and the
+                    // client would get no usable answer.
                     Ending::Error if reply.error.is_some() => Said::Error(reply.bytes),
                     _ => Said::Nothing,
                 };
@@ -357,8 +362,9 @@
     }
 }
 
-/// How an attempt ends that is given up while its connection comes up. Most are given up before that may take as long
-/// as the settings allow: waited for half as long in vain, they tell that the host is out of reach.
+/// The ending of an attempt that is given up while its connection is being opened. Most attempts are given up
+/// before the connect time-out, so half of that time without a connection already counts as a failed connect:
+/// otherwise a host that is out of reach would never be noticed.
 pub(super) fn unsent_ending(ending: Ending, waited: Micros, connect_timeout: Micros) -> Ending {
     if ending == Ending::Timeout && waited >= connect_timeout / 2 {
         Ending::ConnectFailed
--- a/crates/gradeshunt/src/backend/load_report.rs
+++ b/crates/gradeshunt/src/backend/load_report.rs
@@ -1,9 +1,10 @@
-//! Load reports, with which db hosts answer a probe.
+//! Load reports, which db hosts send in answer to probes.
 
 use leadmast::{Micros, Report};
 
-/// Reads a load report, `x0=1767225600.123,x1=1`: a position in Unix seconds, and the role. One that can't be
-/// read throughout tells nothing. `position` takes a position in milliseconds and the role, and may not believe it.
+/// Parses a load report, such as `x0=1767225600.123,x1=1`: a position in Unix seconds, and the role (1 for a
+/// primary). Returns `None` if any part is invalid. `position` converts a position in milliseconds, given the
+/// role, and returns `None` for one that is not plausible.
 pub(super) fn report_of(
     row: &[u8],
     fields: &[String],
--- a/crates/gradeshunt/src/backend/opening.rs
+++ b/crates/gradeshunt/src/backend/opening.rs
@@ -1,4 +1,5 @@
-//! Connections are opened for jobs that wait, one for each: again after a while where the system lacks something for it.
+//! Opens one connection for each waiting job, and retries after a pause where the system temporarily lacks
+//! resources.
 
 use std::io;
 
@@ -12,24 +13,25 @@
 use crate::transient::is_transient;
 use crate::turn::Turn;
 
-/// Pause before another try where the system lacked something for a connection.
+/// Pause before a connect is retried that failed for lack of system resources.
 const CONNECT_PAUSE: Micros = 10_000;
 
 impl Backend {
-    /// Opens a connection for the job that has come last to wait for one. Where the system lacks something for that it goes on
-    /// waiting: an attempt that failed at once would be followed by all others before the want has passed.
+    /// Opens a connection for the newest waiting job. Where the system temporarily lacks resources, the job
+    /// keeps waiting: if its attempt failed at once, all further attempts would follow and fail before the
+    /// shortage had passed.
     pub(super) fn open_for_waiting(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         match self.open_with_room(turn, member) {
             Ok(()) => {}
             Err(e) if is_transient(&e) => self.connect_later(turn, member, &e),
             Err(e) => {
-                warn!(turn.log, "no connection to spare for a db host"; "error" => e.to_string());
+                warn!(turn.log, "cannot open a connection to a db host"; "error" => e.to_string());
                 self.end_latest_waiting(turn, exchange, member);
             }
         }
     }
 
-    /// It is time to open those connections again for which the system lacked something.
+    /// Retries the connections that could not be opened for lack of system resources.
     pub fn connect_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         let Some(host) = self.hosts.get_mut(&member) else { return };
         host.connect_at = None;
@@ -38,13 +40,13 @@
         }
     }
 
-    /// Opens a connection, and closes an idle one for it where there is no room.
+    /// Opens a connection, and first closes an idle one if the limit is reached.
     fn open_with_room(&mut self, turn: &mut Turn, member: MemberId) -> io::Result<()> {
         if self.servers.len() >= self.most && !self.close_oldest_idle(turn) {
             return Err(io::Error::other("too many connections"));
         }
         match self.open(turn, member) {
-            // The system may have fewer descriptors than the configuration says.
+            // The process's limit of file descriptors may be lower than the configured number of connections.
             Err(_) if self.close_oldest_idle(turn) => self.open(turn, member),
             opened => opened,
         }
@@ -55,13 +57,13 @@
         if host.connect_at.is_some() {
             return;
         }
-        warn!(turn.log, "no connection to spare for a db host"; "again" => true, "error" => why.to_string());
+        warn!(turn.log, "cannot open a connection to a db host"; "again" => true, "error" => why.to_string());
         let at = turn.now + CONNECT_PAUSE;
         host.connect_at = Some(at);
         turn.deadlines.set(at, Due::Connect(member));
     }
 
-    /// The latest waiting job ends: the fault is this machine's, not the db host's, and nothing was sent.
+    /// Ends the newest waiting job. The fault is this machine's, not the db host's, and nothing was sent.
     fn end_latest_waiting(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         let job = self.hosts.get_mut(&member).and_then(|host| host.waiting.pop_back());
         if let Some(job) = job {
--- a/crates/gradeshunt/src/backend/pool.rs
+++ b/crates/gradeshunt/src/backend/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of idle connections to db hosts, and how connections are closed.
+//! The pool of idle connections to db hosts, and the closing of connections.
 
 use leadmast::permission::{may_reuse, PooledConnection, ReuseDenial};
 use leadmast::{MemberId, Micros};
@@ -11,7 +11,8 @@
 use crate::turn::Turn;
 
 impl Backend {
-    /// The most recently used idle connection that may be used again; those that may not are closed.
+    /// Takes the most recently used idle connection that may be used again out of the pool, and closes those
+    /// that may not.
     pub(super) fn lease(&mut self, turn: &mut Turn, member: MemberId) -> Option<ServerId> {
         loop {
             let id = *self.hosts.get(&member)?.idle.last()?;
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Why an idle connection may not carry another request.
+    /// Why an idle connection may not be used for another request, or `None` if it may.
     pub(super) fn reuse_denial(&self, now: Micros, id: ServerId) -> Option<ReuseDenial> {
         let s = self.servers.get(&id)?;
         let host = self.hosts.get(&s.member)?;
@@ -38,7 +39,7 @@
         may_reuse(now, &pooled).err()
     }
 
-    /// Closes a connection; its job has been taken from it.
+    /// Closes a connection whose job has been taken.
     pub(super) fn close(&mut self, turn: &mut Turn, id: ServerId) {
         self.take_idle(turn, id);
         let Some(s) = self.servers.remove(&id) else { return };
@@ -56,7 +57,8 @@
             }
         }
         match s.stage {
-            // A close would deliver what the system holds of a request that was given up, whenever its db host reads on.
+            // An ordinary close would still deliver the kernel's unsent bytes of an abandoned request once
+            // the db host reads again.
             Stage::Spent | Stage::Ending { .. } => s.polled.abort(turn),
             _ => s.polled.close(turn),
         }
@@ -86,7 +88,7 @@
         idle.into_iter().for_each(|id| self.close(turn, id));
     }
 
-    /// Makes room by closing the connection that has been idle longest; false where none is.
+    /// Closes the connection that has been idle longest; returns false if none is idle.
     pub fn close_oldest_idle(&mut self, turn: &mut Turn) -> bool {
         let idle = self.servers.iter().filter_map(|(id, s)| match s.stage {
             Stage::Idle { since, .. } => Some((since, *id)),
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -1,4 +1,4 @@
-//! What db hosts send: whole messages are worked off, long answers passed on in parts.
+//! Reads what db hosts send: handles complete messages, and passes on long answers in parts.
 
 use std::io;
 
@@ -17,18 +17,20 @@
 use crate::ring::Moved;
 use crate::turn::{Source, Turn};
 
-/// How long ReadyForQuery may take behind a whole answer. What a db host tells of itself may come in between.
+/// Time for ReadyForQuery after a complete answer, before the client is answered without it. The db host may
+/// send ParameterStatus messages in between.
 pub(super) const READY_GRACE: Micros = 3_000;
-/// How long ReadyForQuery may take until the connection is given up.
+/// Time for ReadyForQuery after which the connection is closed.
 const READY_TIMEOUT: Micros = 500_000;
-/// How much of a long answer is read at a time.
+/// Bytes of a long answer that are read at a time.
 const READ_SIZE: usize = 32 * 1024;
-/// Reads of one connection in one turn.
+/// Reads from one connection per turn.
 const READS_PER_TURN: usize = 8;
 
 impl Server {
-    /// Nothing more has come for now. Where an answer is whole, its ReadyForQuery is not awaited for long: the client must not wait for
-    /// what is not its answer. What may be a copy is none.
+    /// Called when no complete message is left. Limits the wait for ReadyForQuery after a complete answer, so
+    /// that the client does not wait for what is not part of its answer. An answer that may be a duplicate
+    /// does not count.
     fn await_ready(&mut self, turn: &mut Turn, id: ServerId) {
         let is_doubtful = self.marker.is_some() || self.has_doubtful_answer();
         if let Stage::Busy { reply, ready_by: ready_by @ None, .. } = &mut self.stage {
@@ -48,7 +50,8 @@
         for _ in 0..READS_PER_TURN {
             let Some(s) = self.servers.get_mut(&id) else { return };
             if s.is_passing() {
-                // What the client side can't take yet stays with the db host; it says when it can.
+                // What the frontend cannot take yet is left in the db host's connection;
+                // [`Order::Resume`](crate::exchange::Order::Resume) follows.
                 if s.inbound.len() >= READ_SIZE {
                     return;
                 }
@@ -66,7 +69,7 @@
                 return self.answer_malformed(turn, exchange, id, what);
             }
             if let Some(why) = end {
-                // The end is met again once the client side has taken what came before it.
+                // Reading meets the end again once the frontend has taken the data before it.
                 if self.servers.get(&id).is_some_and(|s| s.is_passing() && !s.inbound.is_empty()) {
                     return;
                 }
@@ -76,7 +79,7 @@
         turn.again.push(Source::Server(id));
     }
 
-    /// Works off the whole messages that have come.
+    /// Handles the complete messages that have arrived.
     pub(super) fn read(
         &mut self,
         turn: &mut Turn,
@@ -89,7 +92,7 @@
             }
             let Some(s) = self.servers.get_mut(&id) else { return Ok(()) };
             if matches!(s.stage, Stage::Ending { .. }) {
-                // What comes for an attempt that was given up is nobody's.
+                // What arrives for an abandoned attempt is dropped.
                 s.inbound.consume(s.inbound.len());
                 return Ok(());
             }
@@ -115,9 +118,9 @@
                 }
             }
             let Some(message) = pg::message(s.inbound.bytes(), pg::BACKEND)? else {
-                // Half a message would pass for the beginning of the next request's answer.
+                // An incomplete message would be taken for the beginning of the next request's answer.
                 if matches!(s.stage, Stage::Idle { .. }) && !s.inbound.is_empty() {
-                    return Err(Malformed("half a message between requests"));
+                    return Err(Malformed("incomplete message between requests"));
                 }
                 s.await_ready(turn, id);
                 return Ok(());
@@ -138,7 +141,9 @@
             }
             let up = match &mut s.stage {
                 Stage::Starting { .. } => match tag {
-                    b'R' if message.body != [0; 4] => return Err(Malformed("it asks for a password")),
+                    b'R' if message.body != [0; 4] => {
+                        return Err(Malformed("the db host requires password authentication"))
+                    }
                     b'E' => {
                         let code = pg::error_code(message.body)?.to_owned();
                         self.startup_refused(turn, exchange, id, &code);
@@ -166,7 +171,8 @@
         }
     }
 
-    /// Passes on what has come of a long answer, as far as the client side can take it; true where some was.
+    /// Passes on what has arrived of a long answer, as far as the frontend can take it. Returns whether some
+    /// was passed on.
     fn forward_part(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) -> bool {
         let Some(s) = self.servers.get_mut(&id) else { return false };
         let host = self.hosts.get_mut(&s.member);
@@ -174,7 +180,7 @@
             return false;
         };
         if reply.form == Form::Result {
-            // One that may still fail as a whole is not begun.
+            // A result that may still fail as a whole is not passed on in parts.
             if reply.error.is_some() || (reply.passed.is_none() && !reply.is_full()) {
                 return false;
             }
@@ -198,7 +204,7 @@
         if n == 0 {
             return false;
         }
-        // What stands before the row goes first.
+        // Sends the messages before the row first.
         let mut bytes = std::mem::take(&mut reply.bytes);
         reply.held.set(0);
         bytes.extend(&s.inbound.bytes()[..n]);
@@ -210,12 +216,13 @@
         true
     }
 
-    /// An answer is whole, and its ReadyForQuery late: the client does not wait for that. The connection does behind a value,
-    /// unless that came before the whole request was sent. Behind an error it is closed: another attempt may follow, and to its db host
-    /// this one is out as long as the connection is open.
+    /// An answer is complete but ReadyForQuery is late: answers the client without it. After a value the
+    /// connection waits for ReadyForQuery, unless the answer came before the whole request was sent. After an
+    /// error the connection is closed, since another attempt may follow, and to the db host this one is out
+    /// for as long as the connection is open.
     pub(super) fn end_before_ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some((member, mut job, reply)) = self.take_job(id) else { return };
-        // A copy is no reply of this attempt, and makes no db host unhealthy.
+        // A duplicate is not this attempt's reply, and does not make the db host unhealthy.
         let ending = reply.ending().unwrap_or(Ending::Error);
         match self.servers.get_mut(&id) {
             Some(s) if ending == Ending::Ok && !s.has_more_to_send() => {
--- a/crates/gradeshunt/src/backend/reply.rs
+++ b/crates/gradeshunt/src/backend/reply.rs
@@ -1,4 +1,4 @@
-//! One reply of a db host, as far as it has come: its messages are checked and kept until it is whole.
+//! A db host's reply as far as it has arrived: its messages are checked and kept until it is complete.
 
 use leadmast::{Ending, Micros};
 
@@ -6,39 +6,41 @@
 use crate::memory::Held;
 use crate::pg::{self, sqlstate, Malformed, Writer};
 
-/// A reply as far as it has come. Each job begins with a fresh one: nothing of an earlier reply stays.
+/// A reply as far as it has arrived. Each job starts with a new one, so that nothing of an earlier reply
+/// remains.
 #[derive(Debug, Default)]
 pub(super) struct Reply {
-    /// What it has to be.
+    /// The shape that the answer must have.
     pub(super) form: Form,
     pub(super) bytes: Vec<u8>,
     pub(super) held: Held,
     pub(super) shape: Shape,
-    /// When bytes of a long answer were last passed on; it has begun then.
+    /// When bytes of a long answer were last passed on; `None` before the first.
     pub(super) passed: Option<Micros>,
     pub(super) error: Option<String>,
     pub(super) row: Option<Vec<u8>>,
-    /// As it was told: Unix time in milliseconds.
+    /// The reported position: Unix time in milliseconds.
     pub(super) position: Option<f64>,
     pub(super) primary: Option<bool>,
-    /// An answer has come that may be a copy of an earlier one, and none of the request's own.
+    /// Whether an answer has arrived that may be a duplicate of an earlier one, and none that is certainly
+    /// the request's own.
     pub(super) may_be_copy: bool,
 }
 
-/// How far the one row of an answer has come: anything in another order is none.
+/// How much of an answer has arrived. Messages in any other order are malformed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Shape {
     #[default]
     Nothing,
     Described,
-    /// So much of a long row is yet to be passed on.
+    /// A long row is being passed on; this many bytes of it are left.
     Passing(usize),
     Row,
     Complete,
 }
 
 impl Reply {
-    /// Takes one message; true at ReadyForQuery, which ends the reply.
+    /// Takes one message. Returns true at ReadyForQuery, which ends the reply.
     pub(super) fn take(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
         if self.form == Form::Result {
             return self.take_result(message);
@@ -77,15 +79,15 @@
         Ok(false)
     }
 
-    /// Takes one message of a whole result, any rows of any columns, and keeps all that is the client's; true at
-    /// ReadyForQuery, and only then is the result whole.
+    /// Takes one message of a result with any number of rows and columns, and keeps the messages that are
+    /// meant for the client. Returns true at ReadyForQuery; only then is the result complete.
     fn take_result(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
         match message.tag {
             b'Z' if self.shape != Shape::Row && self.error.is_none() => {
                 return Err(Malformed("ReadyForQuery without an answer"))
             }
-            // Whoever got this connection next would find itself in it.
-            b'Z' if message.body != b"I" => return Err(Malformed("it leaves a transaction open")),
+            // The next request on this connection would run inside that transaction.
+            b'Z' if message.body != b"I" => return Err(Malformed("the request leaves a transaction open")),
             b'Z' => {
                 self.shape = Shape::Complete;
                 return Ok(true);
@@ -97,7 +99,7 @@
                 return Err(Malformed("more than one answer"))
             }
             b'E' if self.passed.is_some() => {
-                // The client has rows of it already, and is owed the rest of the story.
+                // The client already has some of its rows, so the error is passed on as part of the result.
                 self.shape = Shape::Row;
                 self.append(message)?;
             }
@@ -115,22 +117,23 @@
                 self.shape = Shape::Row;
                 self.append(message)?;
             }
-            _ => return Err(Malformed("not a result")),
+            _ => return Err(Malformed("not a valid result")),
         }
         Ok(false)
     }
 
-    /// Whether nothing of an answer has come.
+    /// Whether nothing of an answer has arrived.
     pub(super) fn is_empty(&self) -> bool {
         self.shape == Shape::Nothing && self.error.is_none()
     }
 
-    /// Whether more of a result waits to be passed on than is held of an answer.
+    /// Whether more bytes of a result wait to be passed on than are kept of an answer.
     pub(super) fn is_full(&self) -> bool {
         self.form == Form::Result && self.bytes.len() > pg::WHOLE_ROW
     }
 
-    /// What a db host tells of itself; false where a ParameterStatus is none of that.
+    /// Takes a ParameterStatus message that reports the db host's own state. Returns false for any other
+    /// parameter.
     fn take_status(&mut self, message: &pg::Message) -> bool {
         match pg::parameter_status(message.body) {
             Some(("log_position", value)) => {
@@ -153,12 +156,12 @@
         Ok(())
     }
 
-    /// The error that it is, with the position that it tells; `None` where it is none or tells none.
+    /// The error code and the reported position; `None` if the reply is not an error or reports no position.
     pub(super) fn told_error(&self) -> Option<(String, f64)> {
         self.error.clone().zip(self.position)
     }
 
-    /// How the attempt has ended, by what has come; `None` while the answer is not whole.
+    /// The ending of the attempt by what has arrived; `None` while the answer is incomplete.
     pub(super) fn ending(&self) -> Option<Ending> {
         match self.error.as_deref() {
             None => (self.shape == Shape::Complete).then_some(Ending::Ok),
--- a/crates/gradeshunt/src/backend/sync_marker.rs
+++ b/crates/gradeshunt/src/backend/sync_marker.rs
@@ -1,9 +1,11 @@
-//! Empty queries between requests: the order of answers shows which of them belong to no request.
+//! Sync markers: empty queries between requests, whose answers show which other answers belong to no request.
 //!
-//! No answer names its request. But answers come in the order of the commands, and db hosts answer an empty query at once. So each request
-//! that follows another one on a connection has an empty query before it: what comes before EmptyQueryResponse, such as a second copy of an
-//! earlier answer, is nobody's. An answer that is the same as an earlier one all the same has an empty query behind it: behind the
-//! request's own answer EmptyQueryResponse follows alone, behind a copy the request's own answer comes before it.
+//! No answer names its request, but answers arrive in the order of the commands, and db hosts answer an empty
+//! query at once. So an empty query precedes each request except the first on a connection: whatever arrives
+//! before EmptyQueryResponse, such as a duplicate of an earlier answer, is discarded. If an answer
+//! nevertheless equals an earlier one, the proxy sends another empty query after it. If EmptyQueryResponse
+//! comes next, the answer was the request's own; if the answer was a duplicate, the request's own answer
+//! comes first.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -24,48 +26,50 @@
 use crate::ring::Ring;
 use crate::turn::Turn;
 
-/// Answers that a connection remembers: a second copy that comes behind more than these is not known for one.
+/// Number of recent answers that a connection remembers. A duplicate that arrives after more answers is not
+/// recognized.
 pub(super) const ANSWERS_KEPT: usize = 8;
-/// How long an answer is held back for its marker. A request's own answer comes within its work, a marker at once.
+/// Time for which an answer is held back until its marker is answered. If it was a duplicate, the request's
+/// own answer may take as long as its execution; the marker itself is answered at once.
 const MARKER_TIMEOUT: Micros = 250_000;
 
-/// An empty query that is out.
+/// An empty query that is not answered yet.
 #[derive(Debug)]
 pub(super) struct SyncMarker {
     place: MarkerPlace,
-    /// EmptyQueryResponse has come; ReadyForQuery is still to come.
+    /// EmptyQueryResponse has arrived; ReadyForQuery is still to come.
     answered: bool,
 }
 
-/// Where an empty query stands among the requests of its connection.
+/// The position of an empty query among the requests of its connection.
 #[derive(Debug)]
 enum MarkerPlace {
-    /// Before the next request: what comes before its answer is nobody's.
+    /// Before the next request: what arrives before the marker's answer belongs to no request.
     BeforeRequest(Discard),
-    /// Behind an answer that may be a copy, whose request waits for it.
+    /// After an answer that may be a duplicate and is held back until the marker is answered.
     BehindAnswer(Box<HeldAnswer>),
 }
 
-/// An answer that may be a copy, and what comes behind it.
+/// An answer that may be a duplicate, and what arrives after it.
 #[derive(Debug)]
 struct HeldAnswer {
-    /// The latest answer to its request.
+    /// The latest answer that arrived for the request.
     held: Reply,
-    /// Until when that is held back.
+    /// The time until which that answer is held back.
     by: Micros,
-    /// An answer that comes before the marker's: the one that was held back for it was a copy.
+    /// An answer that arrives before the marker's, which shows that the held answer was a duplicate.
     before: Reply,
-    /// Such an answer has come whole.
+    /// Whether such an answer has arrived completely.
     overtaken: bool,
 }
 
 impl SyncMarker {
-    /// An empty query before the next request.
+    /// A marker that precedes the next request.
     pub(super) fn before_request() -> SyncMarker {
         SyncMarker { place: MarkerPlace::BeforeRequest(Discard::default()), answered: false }
     }
 
-    /// Reads over what is nobody's.
+    /// Discards what belongs to no request.
     pub(super) fn discard(&mut self, inbound: &mut Ring) -> Result<Discarded, Malformed> {
         match &mut self.place {
             MarkerPlace::BeforeRequest(discard) if !self.answered => discard.take(inbound),
@@ -73,7 +77,7 @@
         }
     }
 
-    /// Until when a request waits for it.
+    /// The time until which a held answer waits for this marker.
     fn holds_until(&self) -> Option<Micros> {
         match &self.place {
             MarkerPlace::BehindAnswer(held) => Some(held.by),
@@ -81,7 +85,8 @@
         }
     }
 
-    /// Its request waits no longer: what comes before its answer is nobody's from now on.
+    /// Stops holding an answer back and returns it. What arrives before the marker's answer is discarded from
+    /// now on.
     fn give_up_held(&mut self) -> Option<Reply> {
         let place = MarkerPlace::BeforeRequest(Discard::default());
         match std::mem::replace(&mut self.place, place) {
@@ -92,7 +97,7 @@
 }
 
 impl HeldAnswer {
-    /// Takes a message of an answer that comes before the marker's. One such answer belongs to the request before the marker.
+    /// Takes a message that arrives before the marker's answer. One such answer is the request's own.
     fn take_before(&mut self, message: &Message) -> Result<(), Malformed> {
         if self.overtaken {
             return match message.tag {
@@ -101,7 +106,7 @@
             };
         }
         if self.before.is_full() {
-            return Err(Malformed("a long answer where an empty query's is due"));
+            return Err(Malformed("a long answer instead of the answer to an empty query"));
         }
         if self.before.take(message)? {
             self.overtaken = true;
@@ -111,20 +116,21 @@
     }
 }
 
-/// What a message is on a connection whose marker may be out.
+/// The meaning of a message on a connection that may have a marker out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Marked {
-    /// One that waits for no further step.
+    /// It belongs to the marker or to the held answer; nothing further is to be done.
     Taken,
-    /// The end of a marker before a request: a second copy of an earlier answer came before it.
+    /// The end of a marker before a request; a duplicate of an earlier answer was discarded before it.
     Discarded,
-    /// The end of a marker behind an answer: the request that waits for it has its own answer now.
+    /// The end of a marker after a held answer: the request has its own answer now.
     Ended(AnswerCheck),
     /// No marker is out.
     Other,
 }
 
-/// What tells one answer from another; `None` while it is not whole, and where some of it was passed on already.
+/// A digest that identifies an answer; `None` while the answer is incomplete, or if some of it was already
+/// passed on.
 fn digest(reply: &Reply) -> Option<u64> {
     if reply.ending().is_none() || reply.passed.is_some() {
         return None;
@@ -136,8 +142,9 @@
 }
 
 impl Server {
-    /// Whether an answer is the same as a recent one here, so that it may be a second copy of that, also before its end: errors that tell a
-    /// position are looked into once they are whole, and others that turn a request away are not, for they come in numbers.
+    /// Whether an answer equals a recent one on this connection, so that it may be a duplicate; also known
+    /// before its ReadyForQuery. Excluded are errors that report a position, which `repeats_error` checks
+    /// once they are complete, and other refusals, which are too frequent.
     pub(super) fn may_be_copy(&self, reply: &Reply) -> bool {
         let is_looked_into = match reply.ending() {
             Some(Ending::Ok) => true,
@@ -147,18 +154,18 @@
         is_looked_into && digest(reply).is_some_and(|digest| self.answers.contains(&digest))
     }
 
-    /// Whether it has an answer now that may be a copy.
+    /// Whether the current answer may be a duplicate.
     pub(super) fn has_doubtful_answer(&self) -> bool {
         matches!(&self.stage, Stage::Busy { reply, .. } if self.may_be_copy(reply))
     }
 
-    /// Whether its whole answer is to be held back for a marker.
+    /// Whether the complete answer is to be held back for a marker.
     pub(super) fn must_hold_answer(&self) -> bool {
         let repeats_error = matches!(&self.stage, Stage::Busy { reply, .. } if self.repeats_error(reply));
         repeats_error || self.has_doubtful_answer()
     }
 
-    /// Remembers an answer, whose second copy may come behind other answers.
+    /// Remembers an answer, so that a duplicate that arrives after other answers is recognized.
     pub(super) fn remember_answer(&mut self, reply: &Reply) {
         self.answers.extend(digest(reply));
         if self.answers.len() > ANSWERS_KEPT {
@@ -166,9 +173,10 @@
         }
     }
 
-    /// What the next request begins with: a marker, unless it is the first one here, since a second copy of an earlier answer may be under
-    /// way. A marker that is out already does as well, for it was written behind that answer. Other proxies answer once, and an empty
-    /// query may be refused there.
+    /// Returns the messages that precede the next request: a marker, since a duplicate of an earlier answer
+    /// may be under way. None is needed for the first request on a connection, nor if a marker is already
+    /// out, since that was written after the earlier answers. Other proxies answer only once and may refuse
+    /// an empty query.
     pub(super) fn begin_request(&mut self) -> Writer {
         let is_first = !std::mem::replace(&mut self.has_carried_request, true);
         if is_first || self.marker.is_some() || is_peer(self.member) {
@@ -178,13 +186,13 @@
         Writer::default().query(&[b""])
     }
 
-    /// Whether nothing stands unread but what belongs before its marker or to that.
+    /// Whether nothing is unread except for what may precede or belong to a marker that is out.
     pub(super) fn is_quiet(&self) -> bool {
         self.polled.is_quiet() || (self.marker.is_some() && !self.polled.has_hung_up())
     }
 }
 
-/// Takes a message of a connection, whose marker may be out.
+/// Handles a message on a connection that may have a marker out.
 pub(super) fn take_marked(
     marker: &mut Option<SyncMarker>,
     stage: &mut Stage,
@@ -193,18 +201,22 @@
     let Some(SyncMarker { place, answered }) = marker else { return Ok(Marked::Other) };
     match (message.tag, place) {
         (b'Z', _) if *answered => return Ok(end_marker(marker, stage)),
-        // What a db host tells of itself, as behind any answer.
+        // The db host may send status messages, as after any answer.
         (b'S' | b'N' | b'A', _) if *answered => {}
-        (_, _) if *answered => return Err(Malformed("more than an empty query's answer")),
+        (_, _) if *answered => {
+            return Err(Malformed("unexpected message after the answer to an empty query"))
+        }
         (b'I', MarkerPlace::BeforeRequest(_)) => *answered = true,
         (b'I', MarkerPlace::BehindAnswer(held)) if held.before.is_empty() => *answered = true,
         (_, MarkerPlace::BehindAnswer(held)) => held.take_before(message)?,
-        (_, MarkerPlace::BeforeRequest(_)) => return Err(Malformed("no empty query's answer")),
+        (_, MarkerPlace::BeforeRequest(_)) => {
+            return Err(Malformed("the answer to an empty query is missing"))
+        }
     }
     Ok(Marked::Taken)
 }
 
-/// A marker's answer has come whole.
+/// Handles the end of a marker's answer.
 fn end_marker(marker: &mut Option<SyncMarker>, stage: &mut Stage) -> Marked {
     match (marker.take().map(|marker| marker.place), stage) {
         (Some(MarkerPlace::BehindAnswer(held)), Stage::Busy { reply, .. }) => {
@@ -218,14 +230,14 @@
 }
 
 impl Backend {
-    /// Writes a marker behind an answer that may be a copy, and holds that back until the marker is answered; a load report is taken as
-    /// it is, for an old one is none the worse. Behind an answer that came before its request was sent there can be no marker: it is
-    /// no answer.
+    /// Writes a marker after an answer that may be a duplicate, and holds the answer back until the marker is
+    /// answered. A load report is accepted as it is, since an old one does no harm. An answer that arrived
+    /// before its request was written completely cannot be checked this way, and is treated as malformed.
     pub(super) fn hold_for_marker(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         let Stage::Busy { job, reply, ready_by } = &mut s.stage else { return };
         if !job.is_written() {
-            return self.answer_malformed(turn, exchange, id, "an answer before its request");
+            return self.answer_malformed(turn, exchange, id, "an answer before its request was written");
         }
         let fresh = || Reply { form: reply.form, ..Reply::default() };
         let (before, next) = (fresh(), fresh());
@@ -239,7 +251,7 @@
             MarkerPlace::BehindAnswer(Box::new(HeldAnswer { held, by, before, overtaken: false }))
         };
         s.marker = Some(SyncMarker { place, answered: false });
-        debug!(turn.log, "answer held back: it may be a copy"; "member" => s.member.0);
+        debug!(turn.log, "answer held back: it may duplicate an earlier one"; "member" => s.member.0);
         turn.deadlines.set(by, Due::Server(id));
         let pushed = s.outbound.push(&Writer::default().query(&[b""]).0);
         let written = if pushed {
@@ -254,15 +266,16 @@
         }
     }
 
-    /// Whether an answer has been held back for long enough.
+    /// Whether the time for which an answer is held back has passed.
     pub(super) fn is_marker_due(&self, now: Micros, id: ServerId) -> bool {
         let marker = self.servers.get(&id).and_then(|s| s.marker.as_ref());
         marker.and_then(SyncMarker::holds_until).is_some_and(|by| by <= now)
     }
 
-    /// The marker is late. What may be another request's value is not served, and its request is not sent again beside one that may be
-    /// at work here: it fails. The connection may be used on: answers before the marker's are nobody's. Behind what may be another
-    /// request's error that connection is given up, so that the request may be sent again.
+    /// The marker was not answered in time. A value that may belong to another request is not served. Its
+    /// request fails rather than being sent again, since it may still be running on this connection. The
+    /// connection may be used again: answers before the marker's are discarded. After an error that may
+    /// belong to another request the connection is given up, so that the request may be sent again.
     pub(super) fn marker_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         let (member, by) = (s.member, turn.now);
