--- a/crates/gradeshunt/src/backend/tests/late_connections.rs
+++ b/crates/gradeshunt/src/backend/tests/late_connections.rs
@@ -1,4 +1,4 @@
-//! Requests that have waited for a connection: what was true when they were to go there is looked at again.
+//! Requests that waited for a connection: their conditions are checked again before they are written.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -9,13 +9,13 @@
 use crate::exchange::Order;
 use crate::pg::Writer;
 
-/// How old the data of the class in the example may be.
+/// The maximum age of the data for the example's class.
 const BOUND: Micros = 200_000;
 const GROUP: GroupId = GroupId(0);
 
 impl Play {
-    /// The only replica of a set tells its position, and a read that may see data of some age is to go there; its connection comes up this
-    /// much later.
+    /// The only replica of a set reports its position, and a read with a bound on the age of its data is
+    /// assigned to it. The connection for the read is established this much later.
     fn read_on_a_connection_that_is_late_by(&mut self, late: Micros) {
         self.exchange.members(&mut self.turn, ListKind::Full, vec![entry(GROUP, false)]);
         self.tell_role(false);
@@ -24,25 +24,27 @@
         self.come_up(server);
     }
 
-    /// The db host tells that it is a primary or not, and its position.
+    /// The db host reports its role and its position.
     fn tell_role(&mut self, primary: bool) {
         let report = Report { position: Some(self.turn.now), primary: Some(primary), ..Report::default() };
         let probed = Probed { member: MEMBER, ending: Ending::Ok, elapsed: 0, report: Some(report) };
         self.exchange.probed(&mut self.turn, probed);
     }
 
-    /// A read is to go to the db host, and a connection is opened for it.
+    /// Submits a read, for which the backend opens a connection.
     fn connect_for_a_read(&mut self) -> TcpStream {
         self.exchange.submit(&mut self.turn, call(ClassId(0), GROUP));
         let orders = std::mem::take(&mut self.exchange.orders);
         for order in orders.into_iter().filter(|order| matches!(order, Order::Start { .. })) {
             self.backend.carry_out(&mut self.turn, &mut self.exchange, order);
         }
-        self.host.accept().expect("it connects").0
+        self.host.accept().expect("no connection arrived").0
     }
 
     fn come_up(&mut self, mut server: TcpStream) {
-        server.write_all(&Writer::default().message(b'R', &[&[0; 4]]).ready().0).expect("it is open");
+        server
+            .write_all(&Writer::default().message(b'R', &[&[0; 4]]).ready().0)
+            .expect("the connection is closed");
         self.until(|backend| backend.hosts[&MEMBER].starting == 0);
     }
 
@@ -55,7 +57,7 @@
     }
 }
 
-/// Guards against stale reads: a read is not written to a replica whose data has become too old while the connection came up.
+/// A read must not be written to a replica whose data became too old while the connection was being opened.
 #[test]
 fn read_whose_replica_is_too_far_behind_once_its_connection_is_up_is_not_written() {
     let mut play = Play::open();
@@ -63,7 +65,7 @@
     assert_eq!((play.is_written(), play.denied_as_too_old()), (false, Some(1)));
 }
 
-/// Guards reads at replicas: one whose replica is still recent enough once its connection is up is written.
+/// A read must be written if its replica is still recent enough once the connection is established.
 #[test]
 fn read_whose_replica_is_recent_enough_once_its_connection_is_up_is_written() {
     let mut play = Play::open();
@@ -71,8 +73,8 @@
     assert_eq!((play.is_written(), play.denied_as_too_old()), (true, None));
 }
 
-/// Guards against stale reads: one that only the primary may serve is not written to a db host that has told by the time its connection is
-/// up that it is none any more.
+/// A read that only the primary may serve must not be written to a db host that reported, while the
+/// connection was being opened, that it is no longer the primary.
 #[test]
 fn read_whose_db_host_is_no_primary_once_its_connection_is_up_is_not_written() {
     let mut play =
--- a/crates/gradeshunt/src/backend/tests/written_attempts.rs
+++ b/crates/gradeshunt/src/backend/tests/written_attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts that were written whole, on a connection whose buffer holds bytes of the proxy's own: whatever ends them, they may have run.
+//! Attempts that were written completely on a connection whose outbound buffer holds other bytes of the
+//! proxy: however they end, they may have run.
 
 use std::net::TcpStream;
 
@@ -10,16 +11,18 @@
 use crate::pg::Writer;
 
 impl Play {
-    /// An attempt is written whole, and an empty query stands behind it that the system has not taken yet.
+    /// An attempt has been written completely, and is followed by an empty query that the kernel has not
+    /// taken yet.
     fn attempt_before_an_unwritten_marker(&mut self) -> (TcpStream, AttemptId, ServerId) {
         let (server, attempt) = self.attempt_out();
-        let (id, connection) = self.backend.servers.iter_mut().next().expect("its connection");
+        let (id, connection) = self.backend.servers.iter_mut().next().expect("no connection");
         assert!(connection.outbound.push(&Writer::default().query(&[b""]).0));
         (server, attempt, *id)
     }
 }
 
-/// Guards against repeats of what may have run: a connection that breaks while an empty query is unwritten.
+/// If the connection breaks while an empty query is unwritten, the attempt before it must count as one that
+/// may have run, so that it is not repeated.
 #[test]
 fn written_attempt_whose_connection_breaks_before_an_empty_query_may_have_run() {
     let mut play = Play::open();
@@ -28,16 +31,18 @@
     assert_eq!(play.exchange.endings(), [("reset", 1)]);
 }
 
-/// Guards against repeats of what may have run: an answer that is spoilt while an empty query is unwritten.
+/// If the answer is malformed while an empty query is unwritten, the attempt before it must count as one that
+/// may have run, so that it is not repeated.
 #[test]
 fn written_attempt_whose_answer_is_spoilt_before_an_empty_query_may_have_run() {
     let mut play = Play::open();
     let (_server, _, id) = play.attempt_before_an_unwritten_marker();
-    play.backend.answer_malformed(&mut play.turn, &mut play.exchange, id, "spoilt");
+    play.backend.answer_malformed(&mut play.turn, &mut play.exchange, id, "malformed");
     assert_eq!(play.exchange.endings(), [("error", 1)]);
 }
 
-/// Guards against repeats of what may have run: an attempt whose time is over while an empty query is unwritten.
+/// If an attempt times out while the empty query after it is unwritten, it must count as one that may have
+/// run, so that it is not repeated.
 #[test]
 fn written_attempt_whose_time_is_over_before_an_empty_query_may_have_run() {
     let mut play = Play::open();
@@ -46,7 +51,7 @@
     assert_eq!(play.exchange.endings(), [("timeout", 1)]);
 }
 
-/// Guards writes of answered attempts: an empty query that is unwritten when the time of its attempt's writing is over denies nothing.
+/// The time for writing an attempt must not apply to an empty query that is written after it.
 #[test]
 fn written_attempt_is_not_denied_for_an_unwritten_empty_query() {
     let mut play = Play::open();
--- a/crates/gradeshunt/tests/attempts/played_host.rs
+++ b/crates/gradeshunt/tests/attempts/played_host.rs
@@ -1,4 +1,5 @@
-//! The only db host of a real process, played by the test, and what it reads and answers.
+//! Runs a gradeshunt process whose only db host is played by the test, and reads and writes the db host's
+//! messages.
 
 use std::io::{self, ErrorKind, Write};
 use std::net::{TcpListener, TcpStream};
@@ -13,25 +14,28 @@
 use gradeshunt_stand_ins::standalone::{Standalone, Start};
 use serde_json::{json, Value};
 
-/// A wait that ends a test which fails, and bounds none that passes.
+/// Time-out that ends a failing test. It is far longer than any wait in a passing one.
 pub const PATIENCE: Duration = Duration::from_secs(8);
-/// A statement that fills the buffers of a connection whose reader reads nothing, and then some.
+/// A statement longer than the socket buffers of a connection whose peer does not read.
 pub const LONG: usize = 250_000;
-/// A statement that the system takes whole for such a connection: all of it is handed over, and some of it is not sent.
+/// A statement that the kernel takes completely for such a connection, but of which some stays in the send
+/// buffer.
 pub const HELD: usize = 20_000;
-/// What the db host's connections hold unread, as far as the system goes along.
+/// Size of the receive buffer that is requested for the db host's connections.
 pub const RECEIVE_BUFFER: usize = 4_096;
 
-/// A short aim: rounds, looks at suspects and waits follow from it.
+/// A short aim for response times. The proxy derives the times of its rounds, of checks of suspected hosts
+/// and of waits from it.
 pub const AIM_MS: f64 = 200.0;
-/// One for which a db host passes for heard of late while it reads a long statement on a busy machine.
+/// An aim for which a db host still counts as recently heard from while it reads a long statement on a busy
+/// machine.
 pub const LONG_AIM_MS: f64 = 4_000.0;
-/// One with which a repeat is waited for, however late its turn on a busy machine.
+/// An aim long enough for a repeat to be waited for, however late it is handled on a busy machine.
 pub const PATIENT_AIM_MS: f64 = 20_000.0;
-/// Starts the program with a log that tells of each attempt.
+/// Starts the program with a log that includes each attempt.
 pub const DEBUG_LOG: &str = r#"exec "$0" --log-level debug --log-format json;"#;
 
-/// A process, and its only db host, whose connections hold little that is unread.
+/// A gradeshunt process and its only db host, whose connections have small receive buffers.
 pub struct Play {
     pub host: TcpListener,
     _deaf_discovery: TcpListener,
@@ -43,12 +47,12 @@
         Play::open_with(name, window_ms, AIM_MS, |_| {})
     }
 
-    /// Opens one whose configuration is edited.
+    /// Like `open`, with an aim in milliseconds and with `edit` applied to the configuration.
     pub fn open_with(name: &str, window_ms: u64, aim: f64, edit: impl Fn(&mut Value)) -> Play {
         Play::open_in_shell(name, window_ms, aim, edit, "")
     }
 
-    /// Opens one that shell commands start.
+    /// Like `open_with`, with shell commands that start the program.
     pub fn open_in_shell(
         name: &str,
         window_ms: u64,
@@ -56,17 +60,20 @@
         edit: impl Fn(&mut Value),
         shell: &'static str,
     ) -> Play {
-        let host = TcpListener::bind("127.0.0.1:0").expect("a port");
-        socket2::SockRef::from(&host).set_recv_buffer_size(RECEIVE_BUFFER).expect("it can be set");
-        socket2::SockRef::from(&host).set_read_timeout(Some(PATIENCE)).expect("it can be set");
+        let host = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
+        socket2::SockRef::from(&host)
+            .set_recv_buffer_size(RECEIVE_BUFFER)
+            .expect("cannot set a socket option");
+        socket2::SockRef::from(&host).set_read_timeout(Some(PATIENCE)).expect("cannot set a socket option");
         let window = Duration::from_millis(window_ms);
-        let site = Site::open(Plan { sets: vec![1], window, aim, ..Plan::default() }).expect("a site");
+        let site =
+            Site::open(Plan { sets: vec![1], window, aim, ..Plan::default() }).expect("cannot open the site");
         let mut config = site.config();
         config["known"]["instances"][0]["hostPort"] =
-            json!(host.local_addr().expect("an address").to_string());
+            json!(host.local_addr().expect("no local address").to_string());
         config["settings"]["allowed"]["connectTimeout"] = json!(600_000.0);
-        let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
-        config["discovery"] = json!(discovery.local_addr().expect("an address").to_string());
+        let discovery = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
+        config["discovery"] = json!(discovery.local_addr().expect("no local address").to_string());
         edit(&mut config);
         let start = Start {
             program: Path::new(env!("CARGO_BIN_EXE_gradeshunt")),
@@ -75,31 +82,34 @@
             shell,
             environment: Vec::new(),
         };
-        let program = Standalone::start(start, |_| {}).expect("it starts");
+        let program = Standalone::start(start, |_| {}).expect("the program does not start");
         Play { host, _deaf_discovery: discovery, program }
     }
 
     pub fn client(&self) -> Client {
         drop(self.program.connect(PATIENCE));
-        Client::connect(self.program.addr, &[("user", "portal")], PATIENCE).expect("its session starts")
+        Client::connect(self.program.addr, &[("user", "portal")], PATIENCE)
+            .expect("the session does not start")
     }
 
-    /// The db host takes the next connection that comes up.
+    /// Accepts the next connection at the db host and completes its startup.
     pub fn accept(&self) -> TcpStream {
         let connected = self.host.accept();
         let (server, _) = connected.unwrap_or_else(|e| panic!("no connection: {e}: {}", self.program.log()));
         greet(server)
     }
 
-    /// The next attempt on any further connection: probes may take some of them. The last that a test asks of its db host.
+    /// Returns the next attempt on any further connection, some of which may carry probes instead. No other
+    /// method of the db host may be used afterwards.
     pub fn next_attempt(&self) -> String {
-        let attempt = self.further_attempts().recv_timeout(PATIENCE).expect("an attempt");
+        let attempt = self.further_attempts().recv_timeout(PATIENCE).expect("no further attempt arrived");
         attempt.unwrap_or_else(|e| panic!("no attempt: {e:?}: {}", self.program.log()))
     }
 
-    /// The first attempt of each further connection, as they come. The last that a test asks of its db host.
+    /// Returns the first attempt on each further connection as it arrives. No other method of the db host may
+    /// be used afterwards.
     pub fn further_attempts(&self) -> Receiver<Result<String, ErrorKind>> {
-        let host = self.host.try_clone().expect("another handle");
+        let host = self.host.try_clone().expect("cannot clone the listener");
         let (found, attempts) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             while let Ok((server, _)) = host.accept() {
@@ -113,24 +123,24 @@
     }
 }
 
-/// A db host lets a connection come up.
+/// Completes the startup of a connection at the db host.
 pub fn greet(mut server: TcpStream) -> TcpStream {
-    server.set_read_timeout(Some(PATIENCE)).expect("it can be set");
-    wire::read_startup(&mut server).expect("a startup message");
+    server.set_read_timeout(Some(PATIENCE)).expect("cannot set a socket option");
+    wire::read_startup(&mut server).expect("no startup message");
     server
         .write_all(&[wire::message(b'R', &[0; 4]), wire::message(b'Z', b"I")].concat())
-        .expect("it is open");
+        .expect("the connection is closed");
     server
 }
 
-/// Waits until a client's request begins to come, and answers what the proxy asks for itself before.
+/// Waits until a client's request begins to arrive, and answers the proxy's own queries before it.
 pub fn until_request_begins(server: &mut TcpStream) {
     const HEAD: usize = 5;
     let mut begin = [0; HEAD + 2];
     loop {
         loop {
-            let seen = server.peek(&mut begin).expect("it is open");
-            assert!(seen > 0, "it was closed");
+            let seen = server.peek(&mut begin).expect("the connection is closed");
+            assert!(seen > 0, "the connection was closed before a request arrived");
             if seen == begin.len() {
                 break;
             }
@@ -138,8 +148,8 @@
         if &begin[HEAD..] == b"/*" {
             return;
         }
-        wire::read(server).expect("a probe");
-        answer_probe(server).expect("it is open");
+        wire::read(server).expect("cannot read a probe");
+        answer_probe(server).expect("the connection is closed");
     }
 }
 
@@ -148,7 +158,7 @@
     server.write_all(&[wire::table(&report), wire::message(b'Z', b"I")].concat())
 }
 
-/// A request of the class, padded to a length.
+/// A request of this class, padded to `length` bytes.
 pub fn request(id: usize, class: &str, wait_ms: u64, length: usize) -> Vec<u8> {
     let text = format!(
         "/* id={id},c={class},d={wait_ms},k={id:016x},cluster=1 */ SELECT data FROM facts WHERE code = '{id:x}'"
@@ -157,8 +167,8 @@
     wire::query(&format!("{text}{padding}"))
 }
 
-/// Reads whole messages until one of a client's request comes, and answers what the proxy asks for itself: the db host is at work on
-/// nothing.
+/// Reads messages up to a client's request, and answers the proxy's own queries before it, as a db host does
+/// that is not busy.
 pub fn next_request(server: &mut TcpStream) -> io::Result<String> {
     loop {
         let (tag, body) = wire::read(server)?;
@@ -174,8 +184,8 @@
     }
 }
 
-/// The same, but empty queries right before the request are left to be answered; how many there are. Behind a request that a db host is at
-/// work on they are answered when that is, and no sooner.
+/// Like `next_request`, but leaves the empty queries right before the request unanswered and returns their
+/// number. A db host that is busy with an earlier request answers them only after that request.
 pub fn read_request(server: &mut TcpStream) -> io::Result<(usize, String)> {
     let mut markers = 0;
     loop {
@@ -193,13 +203,14 @@
     }
 }
 
-/// The time that a request tells.
+/// The wait time that a request states, in milliseconds.
 pub fn told_ms(text: &str) -> u64 {
     let told = text.split(",d=").nth(1).and_then(|rest| rest.split(',').next());
-    told.and_then(|ms| ms.parse().ok()).expect("a time")
+    told.and_then(|ms| ms.parse().ok()).expect("no time in milliseconds or microseconds")
 }
 
-/// Requests wait at the db host until their clients have an answer, one after the other, until so long has passed.
+/// Lets `ms` milliseconds pass while requests wait at the db host, one after the other, until their clients
+/// get an answer.
 pub fn let_pass(play: &Play, ms: u64) {
     let (began, passed) = (Instant::now(), Duration::from_millis(ms));
     for id in 100.. {
@@ -209,17 +220,17 @@
         }
         let mut client = play.client();
         let wait_ms = left.as_millis() as u64 + 1;
-        client.stream().write_all(&request(id, "page-read", wait_ms, 0)).expect("it is open");
-        assert!(client.until_ready().expect("an answer").code().is_some());
+        client.stream().write_all(&request(id, "page-read", wait_ms, 0)).expect("the connection is closed");
+        assert!(client.until_ready().expect("no answer").code().is_some());
     }
 }
 
-/// A db host's answer that is an error, up to its ReadyForQuery.
+/// An error answer of a db host, without ReadyForQuery.
 pub fn refusal(code: &str, position: &str) -> Vec<u8> {
     let error = wire::message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes());
     let status = wire::message(b'S', format!("log_position\0{position}\0").as_bytes());
     [error, status].concat()
 }
 
-/// A position as db hosts tell it, in Unix milliseconds.
+/// A position as db hosts report it, in Unix milliseconds.
 pub const POSITION: &str = "1767225600123";
