--- a/crates/gradeshunt/src/backend.rs
+++ b/crates/gradeshunt/src/backend.rs
@@ -25,7 +25,7 @@
 pub use self::hosts::Listed;
 use self::jobs::{Job, Place};
 use crate::deadlines::Due;
-use crate::exchange::{AttemptId, Exchange, Order};
+use crate::exchange::{AttemptId, BackendCommand, Exchange};
 use crate::ids::ServerId;
 use crate::pg::Malformed;
 use crate::turn::Turn;
@@ -73,9 +73,9 @@
 
     // ---- Orders ----
 
-    pub fn carry_out(&mut self, turn: &mut Turn, exchange: &mut Exchange, order: Order) {
-        match order {
-            Order::Start { attempt, member, body, until, write_by } => {
+    pub fn carry_out(&mut self, turn: &mut Turn, exchange: &mut Exchange, command: BackendCommand) {
+        match command {
+            BackendCommand::Start { attempt, member, body, until, write_by } => {
                 let write_by = write_by.min(until);
                 let job = Job::Attempt {
                     id: attempt,
@@ -87,12 +87,12 @@
                 };
                 self.begin(turn, exchange, member, job);
             }
-            // One probe at a time per db host: the one that is out answers this order too.
-            Order::Probe(member) if self.probes.contains_key(&member) => {}
-            Order::Probe(member) => {
+            // One probe at a time per db host: the one that is out answers this command too.
+            BackendCommand::Probe(member) if self.probes.contains_key(&member) => {}
+            BackendCommand::Probe(member) => {
                 self.begin(turn, exchange, member, Job::Probe { since: turn.now, written: None });
             }
-            Order::Resume(id) => {
+            BackendCommand::Resume(id) => {
                 if let Some((_, Place::On(server))) = self.attempts.get(&id).copied() {
                     match self.read(turn, exchange, server) {
                         Ok(()) => self.ready(turn, exchange, server),
@@ -100,13 +100,13 @@
                     }
                 }
             }
-            Order::Abandon(id) => self.give_up(turn, exchange, id, Ending::Cancelled),
-            Order::Withdraw(id) => {
+            BackendCommand::Cancel(id) => self.give_up(turn, exchange, id, Ending::Cancelled),
+            BackendCommand::CancelIfUnsent(id) => {
                 if self.is_unsent(id) {
                     self.give_up(turn, exchange, id, Ending::Cancelled);
                 }
             }
-            Order::CloseIdle(member) => self.close_idle(turn, member),
+            BackendCommand::CloseIdle(member) => self.close_idle(turn, member),
         }
     }
 
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -18,7 +18,9 @@
 use super::reply::Reply;
 use super::Backend;
 use crate::deadlines::Due;
-use crate::exchange::{name, AttemptId, AttemptTrace, Body, ConnectionEnd, Ended, Exchange, Form, Said};
+use crate::exchange::{
+    ending_name, AnswerForm, AttemptEnd, AttemptId, AttemptTrace, Body, ConnectionEnd, Exchange, HostReply,
+};
 use crate::ids::ServerId;
 use crate::pg::{self, sqlstate};
 use crate::placing::is_peer;
@@ -191,12 +193,12 @@
                     turn.deadlines.set(due, Due::Attempt(*attempt));
                     *a = (due, Place::On(id));
                 }
-                let (before, after) = body.around_wait();
+                let (before, after) = body.split_at_wait();
                 let now = turn.clock.now();
                 let Telling { told, holds_for } = time_to_tell(*until - now, body.len());
                 let told_ms = (told / 1000).max(1);
                 // A plain statement does not tell the db host how long the client waits.
-                if body.tells_wait() {
+                if body.states_wait() {
                     let told_until = Some(now + holds_for);
                     sending = Sending { told: Some(told_ms * 1000), told_until, begun: false };
                 }
@@ -216,7 +218,7 @@
         };
         let form = match &job {
             Job::Attempt { body, .. } => body.form,
-            Job::Probe { .. } => Form::Value,
+            Job::Probe { .. } => AnswerForm::Value,
         };
         s.stage = Stage::Busy { job, reply: Reply { form, ..Reply::default() }, ready_by: None };
         s.sending = sending;
@@ -322,29 +324,29 @@
                     turn.deadlines.clear(until, Due::Attempt(id));
                 }
                 debug!(turn.log, "attempt ended"; "request" => id.request.0, "number" => id.number,
-                    "member" => member.0, "ending" => name(ending));
+                    "member" => member.0, "ending" => ending_name(ending));
                 let note = self.hosts.get_mut(&member).and_then(|host| host.note(turn, &reply));
                 let said = match ending {
-                    Ending::Ok => Said::Answer(reply.bytes),
+                    Ending::Ok => HostReply::Answer(reply.bytes),
                     Ending::Error if reply.error.as_deref().is_some_and(sqlstate::is_verdict) => {
-                        Said::Verdict(reply.bytes)
+                        HostReply::StatementError(reply.bytes)
                     }
                     Ending::Error
                         if is_peer(member) && reply.error.as_deref() == Some(sqlstate::PROXY_LEAVING) =>
                     {
-                        Said::Leaving
+                        HostReply::Leaving
                     }
-                    Ending::Error if reply.may_be_copy => Said::Unclear,
+                    Ending::Error if reply.may_be_copy => HostReply::PossibleDuplicate,
                     Ending::Full if reply.error.is_some() => {
-                        Said::Refused { retry_after: pg::retry_after(&reply.bytes) }
+                        HostReply::Refused { retry_after: pg::retry_after(&reply.bytes) }
                     }
                     // A malformed answer is not passed on: its error message may be incomplete, and the
                     // client would get no usable answer.
-                    Ending::Error if reply.error.is_some() => Said::Error(reply.bytes),
-                    _ => Said::Nothing,
+                    Ending::Error if reply.error.is_some() => HostReply::Error(reply.bytes),
+                    _ => HostReply::Nothing,
                 };
                 self.tell_unshown(turn, exchange, member);
-                exchange.ended(turn, Ended { attempt: id, ending, note, said, trace: *trace });
+                exchange.ended(turn, AttemptEnd { attempt: id, ending, note, reply: said, trace: *trace });
             }
             Job::Probe { since, .. } => {
                 if let Some((until, _)) = self.probes.remove(&member) {
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -11,7 +11,7 @@
 use super::sync_marker::{take_marked, Marked};
 use super::Backend;
 use crate::deadlines::Due;
-use crate::exchange::{AnswerCheck, ConnectionEnd, Exchange, Form};
+use crate::exchange::{AnswerCheck, AnswerForm, ConnectionEnd, Exchange};
 use crate::ids::ServerId;
 use crate::pg::{self, Malformed};
 use crate::ring::Moved;
@@ -51,7 +51,7 @@
             let Some(s) = self.servers.get_mut(&id) else { return };
             if s.is_passing() {
                 // What the frontend cannot take yet is left in the db host's connection;
-                // [`Order::Resume`](crate::exchange::Order::Resume) follows.
+                // [`BackendCommand::Resume`](crate::exchange::BackendCommand::Resume) follows.
                 if s.inbound.len() >= READ_SIZE {
                     return;
                 }
@@ -106,7 +106,7 @@
                     return Ok(());
                 }
                 match reply.shape {
-                    _ if reply.form == Form::Result => {}
+                    _ if reply.form == AnswerForm::Result => {}
                     Shape::Described => {
                         if let Some(size) = pg::long_row(s.inbound.bytes())? {
                             reply.shape = Shape::Passing(size);
@@ -134,7 +134,7 @@
                         exchange.note_answer_check(turn, s.member, found);
                         self.connection_ready(turn, exchange, id);
                     }
-                    Marked::Discarded => exchange.note_answer_check(turn, s.member, AnswerCheck::Copy),
+                    Marked::Discarded => exchange.note_answer_check(turn, s.member, AnswerCheck::Duplicate),
                     Marked::Taken | Marked::Other => {}
                 }
                 continue;
@@ -179,7 +179,7 @@
         let Stage::Busy { job: Job::Attempt { id: attempt, .. }, reply, .. } = &mut s.stage else {
             return false;
         };
-        if reply.form == Form::Result {
+        if reply.form == AnswerForm::Result {
             // A result that may still fail as a whole is not passed on in parts.
             if reply.error.is_some() || (reply.passed.is_none() && !reply.is_full()) {
                 return false;
--- a/crates/gradeshunt/src/backend/reply.rs
+++ b/crates/gradeshunt/src/backend/reply.rs
@@ -2,7 +2,7 @@
 
 use leadmast::{Ending, Micros};
 
-use crate::exchange::Form;
+use crate::exchange::AnswerForm;
 use crate::memory::Held;
 use crate::pg::{self, sqlstate, Malformed, Writer};
 
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Reply {
     /// The shape that the answer must have.
-    pub(super) form: Form,
+    pub(super) form: AnswerForm,
     pub(super) bytes: Vec<u8>,
     pub(super) held: Held,
     pub(super) shape: Shape,
@@ -42,7 +42,7 @@
 impl Reply {
     /// Takes one message. Returns true at ReadyForQuery, which ends the reply.
     pub(super) fn take(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
-        if self.form == Form::Result {
+        if self.form == AnswerForm::Result {
             return self.take_result(message);
         }
         match message.tag {
@@ -129,7 +129,7 @@
 
     /// Whether more bytes of a result wait to be passed on than are kept of an answer.
     pub(super) fn is_full(&self) -> bool {
-        self.form == Form::Result && self.bytes.len() > pg::WHOLE_ROW
+        self.form == AnswerForm::Result && self.bytes.len() > pg::WHOLE_ROW
     }
 
     /// Takes a ParameterStatus message that reports the db host's own state. Returns false for any other
@@ -147,7 +147,7 @@
     }
 
     fn append(&mut self, message: &pg::Message) -> Result<(), Malformed> {
-        let before = if self.form == Form::Result { 0 } else { self.bytes.len() };
+        let before = if self.form == AnswerForm::Result { 0 } else { self.bytes.len() };
         if before + message.size > pg::LONGEST_ANSWER {
             return Err(Malformed("the answer is too long"));
         }
--- a/crates/gradeshunt/src/backend/sync_marker.rs
+++ b/crates/gradeshunt/src/backend/sync_marker.rs
@@ -220,7 +220,7 @@
 fn end_marker(marker: &mut Option<SyncMarker>, stage: &mut Stage) -> Marked {
     match (marker.take().map(|marker| marker.place), stage) {
         (Some(MarkerPlace::BehindAnswer(held)), Stage::Busy { reply, .. }) => {
-            let found = if held.overtaken { AnswerCheck::Copy } else { AnswerCheck::Own };
+            let found = if held.overtaken { AnswerCheck::Duplicate } else { AnswerCheck::Own };
             *reply = held.held;
             Marked::Ended(found)
         }
--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -17,7 +17,7 @@
 use super::jobs::unsent_ending;
 use super::Backend;
 use crate::deadlines::Due;
-use crate::exchange::{AttemptId, Body, Call, Exchange, Form, Order};
+use crate::exchange::{AnswerForm, AttemptId, BackendCommand, Body, Exchange, IncomingRequest};
 use crate::pg::Writer;
 use crate::turn::{Ready, Turn};
 
@@ -71,8 +71,8 @@
 }
 
 /// A request of a client that waits long.
-fn call(class: ClassId, group: GroupId) -> Call {
-    Call {
+fn call(class: ClassId, group: GroupId) -> IncomingRequest {
+    IncomingRequest {
         class,
         group,
         key: None,
@@ -82,7 +82,7 @@
         checked: false,
         tenant: None,
         source: Source::Client,
-        body: Body::new(b"SELECT 1".to_vec(), None, Form::Value),
+        body: Body::new(b"SELECT 1".to_vec(), None, AnswerForm::Value),
     }
 }
 
@@ -125,7 +125,7 @@
 
     /// Has the backend open a connection for a probe and pool it after the load report.
     fn pool_connection(&mut self) -> TcpStream {
-        self.backend.carry_out(&mut self.turn, &mut self.exchange, Order::Probe(MEMBER));
+        self.backend.carry_out(&mut self.turn, &mut self.exchange, BackendCommand::Probe(MEMBER));
         let (mut server, _) = self.host.accept().expect("no connection arrived");
         server.set_nodelay(true).expect("cannot set a socket option");
         server
@@ -150,8 +150,8 @@
         let group = GroupId(0);
         self.exchange.members(&mut self.turn, ListKind::Full, vec![entry(group, true)]);
         self.exchange.submit(&mut self.turn, call(ClassId(0), group));
-        while let Some(order) = self.exchange.orders.pop_front() {
-            self.backend.carry_out(&mut self.turn, &mut self.exchange, order);
+        while let Some(command) = self.exchange.backend_commands.pop_front() {
+            self.backend.carry_out(&mut self.turn, &mut self.exchange, command);
         }
         let mut query = Vec::new();
         while !query.ends_with(b"SELECT 1\0") {
@@ -198,7 +198,7 @@
     let moved = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
     let addr = moved.local_addr().expect("no local address");
     // A job is out on the connection, so that the change of address does not close it.
-    play.backend.carry_out(&mut play.turn, &mut play.exchange, Order::Probe(MEMBER));
+    play.backend.carry_out(&mut play.turn, &mut play.exchange, BackendCommand::Probe(MEMBER));
     let listed = Listed { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
     play.backend.list(&mut play.turn, &mut play.exchange, ListKind::Full, &[listed]);
     assert_eq!(play.backend.servers.len(), 1);
@@ -216,10 +216,10 @@
     let mut play = Play::open();
     let mut server = play.pool_connection();
     let attempt = AttemptId { request: RequestId(1), number: 0 };
-    let body = Rc::new(Body::new(b"SELECT 1".to_vec(), None, Form::Value));
+    let body = Rc::new(Body::new(b"SELECT 1".to_vec(), None, AnswerForm::Value));
     let until = play.turn.clock.now() + PATIENCE;
-    let order = Order::Start { attempt, member: MEMBER, body, until, write_by: until };
-    play.backend.carry_out(&mut play.turn, &mut play.exchange, order);
+    let command = BackendCommand::Start { attempt, member: MEMBER, body, until, write_by: until };
+    play.backend.carry_out(&mut play.turn, &mut play.exchange, command);
     let error = Writer::default().message(b'E', &[b"SERROR\0CXX000\0Mbroken\0\0"]).0;
     server.write_all(&[empty_query_answer(), error].concat()).expect("the connection is closed");
     let awaits_ready = |s: &Server| matches!(s.stage, Stage::Busy { ready_by: Some(_), .. });
--- a/crates/gradeshunt/src/backend/tests/late_connections.rs
+++ b/crates/gradeshunt/src/backend/tests/late_connections.rs
@@ -6,7 +6,7 @@
 use leadmast::{ClassId, Ending, GroupId, ListKind, Micros, Probed, Report};
 
 use super::{call, entry, Play, MEMBER};
-use crate::exchange::Order;
+use crate::exchange::BackendCommand;
 use crate::pg::Writer;
 
 /// The maximum age of the data for the example's class.
@@ -34,9 +34,10 @@
     /// Submits a read, for which the backend opens a connection.
     fn connect_for_a_read(&mut self) -> TcpStream {
         self.exchange.submit(&mut self.turn, call(ClassId(0), GROUP));
-        let orders = std::mem::take(&mut self.exchange.orders);
-        for order in orders.into_iter().filter(|order| matches!(order, Order::Start { .. })) {
-            self.backend.carry_out(&mut self.turn, &mut self.exchange, order);
+        let commands = std::mem::take(&mut self.exchange.backend_commands);
+        for command in commands.into_iter().filter(|command| matches!(command, BackendCommand::Start { .. }))
+        {
+            self.backend.carry_out(&mut self.turn, &mut self.exchange, command);
         }
         self.host.accept().expect("no connection arrived").0
     }
--- a/crates/gradeshunt/src/backend/tests/late_copies.rs
+++ b/crates/gradeshunt/src/backend/tests/late_copies.rs
@@ -10,7 +10,7 @@
 use super::{empty_query_answer, Play, LONG_WAIT, MEMBER};
 use crate::backend::connection::{Server, Stage};
 use crate::backend::reading::READY_GRACE;
-use crate::exchange::{Answer, AttemptId, Body, Final, Form, Order};
+use crate::exchange::{Answer, AnswerForm, AttemptId, BackendCommand, Body, FinalAnswer};
 use crate::pg::Writer;
 use crate::placing::{is_peer, Peer};
 
@@ -34,7 +34,7 @@
     /// A load report arrives, and its ReadyForQuery only after the probe was answered without it.
     fn pool_connection_with_a_late_ready_for_query(&mut self) -> TcpStream {
         let mut server = self.pool_connection();
-        self.backend.carry_out(&mut self.turn, &mut self.exchange, Order::Probe(MEMBER));
+        self.backend.carry_out(&mut self.turn, &mut self.exchange, BackendCommand::Probe(MEMBER));
         let answers = [empty_query_answer(), report()].concat();
         server
             .write_all(
@@ -61,7 +61,7 @@
     server.write_all(&answers).expect("the connection is closed");
     play.until(|backend| backend.attempts.is_empty());
     let (_, answer) = play.exchange.answers.pop_front().expect("no answer");
-    let Answer::Final(Final::Served(bytes)) = answer else { panic!("{answer:?}") };
+    let Answer::Final(FinalAnswer::Served(bytes)) = answer else { panic!("{answer:?}") };
     assert!(bytes.windows(3).any(|part| part == b"own"), "{bytes:?}");
 }
 
@@ -76,13 +76,13 @@
     let peer = Peer { name: "n1".to_owned(), member: PEER, address };
     play.backend.set_peers(&mut play.turn, &mut play.exchange, "n0", &[peer]);
     let statement = b"SELECT 1".to_vec();
-    let body = Rc::new(Body::new(statement, None, Form::Value));
+    let body = Rc::new(Body::new(statement, None, AnswerForm::Value));
     let until = play.turn.clock.now() + LONG_WAIT;
-    let order = |number| {
+    let command = |number| {
         let attempt = AttemptId { request: RequestId(1), number };
-        Order::Start { attempt, member: PEER, body: Rc::clone(&body), until, write_by: until }
+        BackendCommand::Start { attempt, member: PEER, body: Rc::clone(&body), until, write_by: until }
     };
-    play.backend.carry_out(&mut play.turn, &mut play.exchange, order(0));
+    play.backend.carry_out(&mut play.turn, &mut play.exchange, command(0));
     let (mut server, _) = proxy.accept().expect("no connection arrived");
     server
         .write_all(&Writer::default().message(b'R', &[&[0; 4]]).ready().0)
@@ -90,7 +90,7 @@
     play.until(|backend| backend.hosts[&PEER].starting == 0);
     server.write_all(&value(b"one")).expect("the connection is closed");
     play.until(|backend| backend.attempts.is_empty());
-    play.backend.carry_out(&mut play.turn, &mut play.exchange, order(1));
+    play.backend.carry_out(&mut play.turn, &mut play.exchange, command(1));
     let query = Writer::default().query(&[b"SELECT 1"]).0;
     let mut bytes = Vec::new();
     while !bytes.ends_with(&query.repeat(2)) {
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -11,7 +11,7 @@
 use crate::config::Config;
 use crate::deadlines::Due;
 use crate::discovery::{self, Discovery, News};
-use crate::exchange::{Answer, Exchange, Order};
+use crate::exchange::{Answer, BackendCommand, Exchange};
 use crate::loop_stats::LoopStats;
 use crate::placing::Placing;
 use crate::turn::{Ready, Source, Turn};
@@ -32,7 +32,7 @@
     /// The module has heard of a list.
     List(List),
     /// The module asks something of the db hosts' side.
-    Order(Order),
+    Order(BackendCommand),
     /// A request's client is to be answered.
     Answer(RequestId, Answer),
 }
@@ -130,13 +130,13 @@
                 let news = self.news.remove(0);
                 return Some(Step::List(self.tell(news)));
             }
-            if let Some(order) = self.exchange.orders.pop_front() {
+            if let Some(order) = self.exchange.backend_commands.pop_front() {
                 return Some(Step::Order(order));
             }
             if let Some((request, answer)) = self.exchange.answers.pop_front() {
                 return Some(Step::Answer(request, answer));
             }
-            let ask = self.exchange.asks.pop_front()?;
+            let ask = self.exchange.discovery_calls.pop_front()?;
             self.discovery.ask(&mut self.turn, ask, &mut self.news);
         }
     }
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -17,7 +17,7 @@
 use self::list::Reader;
 use crate::clock::Clock;
 use crate::deadlines::Due;
-use crate::exchange::Ask;
+use crate::exchange::DiscoveryCall;
 use crate::ids::CallId;
 use crate::ring::{Moved, Ring};
 use crate::turn::{Polled, Source, Turn};
@@ -47,7 +47,7 @@
 }
 
 struct Call {
-    ask: Ask,
+    ask: DiscoveryCall,
     /// A watch at the former address: it is listened to until its successor has told the list.
     former: bool,
     polled: Polled,
@@ -93,13 +93,13 @@
     /// Watches from now on. The decisions ask for nothing before their first event, and a process without a list has none:
     /// it turns requests away.
     pub fn start(&mut self, turn: &mut Turn, news: &mut Vec<News>) {
-        self.ask(turn, Ask::Watch, news);
+        self.ask(turn, DiscoveryCall::Watch, news);
     }
 
     /// A watch is to be opened anew.
     pub fn reopen_due(&mut self, turn: &mut Turn, news: &mut Vec<News>) {
         if self.reopen.take_if(|at| *at <= turn.now).is_some() {
-            self.ask(turn, Ask::Watch, news);
+            self.ask(turn, DiscoveryCall::Watch, news);
         }
     }
 
@@ -137,9 +137,11 @@
     }
 
     /// Asks; a failure is told as news.
-    pub fn ask(&mut self, turn: &mut Turn, ask: Ask, news: &mut Vec<News>) {
+    pub fn ask(&mut self, turn: &mut Turn, ask: DiscoveryCall, news: &mut Vec<News>) {
         // One watch at a time: another would only tell the same again.
-        if ask == Ask::Watch && self.calls.values().any(|c| c.ask == Ask::Watch && !c.former) {
+        if ask == DiscoveryCall::Watch
+            && self.calls.values().any(|c| c.ask == DiscoveryCall::Watch && !c.former)
+        {
             return;
         }
         if let Err(e) = self.call(turn, ask) {
@@ -149,9 +151,9 @@
     }
 
     /// A call has come to nothing. Where the list is pushed a watch is opened anew, else the module says when to ask.
-    fn failed(&mut self, turn: &mut Turn, ask: Ask, kind: ListKind, news: &mut Vec<News>) {
+    fn failed(&mut self, turn: &mut Turn, ask: DiscoveryCall, kind: ListKind, news: &mut Vec<News>) {
         match self.pace.pushed {
-            Some(wait) if ask == Ask::Watch => self.reopen_in(turn, wait),
+            Some(wait) if ask == DiscoveryCall::Watch => self.reopen_in(turn, wait),
             _ => news.push(News::new(kind)),
         }
     }
@@ -164,15 +166,15 @@
             return;
         }
         self.calls.values_mut().for_each(|c| c.former = true);
-        self.ask(turn, Ask::Watch, news);
+        self.ask(turn, DiscoveryCall::Watch, news);
     }
 
-    fn call(&mut self, turn: &mut Turn, ask: Ask) -> io::Result<()> {
+    fn call(&mut self, turn: &mut Turn, ask: DiscoveryCall) -> io::Result<()> {
         let id = CallId(self.next);
         self.next += 1;
         let path = match ask {
-            Ask::Watch => format!("/api/targets?stream=1&index={}", self.reader.generation()),
-            Ask::Fetch => "/api/targets".to_owned(),
+            DiscoveryCall::Watch => format!("/api/targets?stream=1&index={}", self.reader.generation()),
+            DiscoveryCall::Fetch => "/api/targets".to_owned(),
         };
         let polled = Polled::connect(turn, self.addr, Source::Call(id))?;
         let mut outbound = Ring::default();
@@ -184,7 +186,7 @@
         let due = turn.now + self.silence;
         turn.deadlines.set(due, Due::Call(id));
         let inbound = Ring::default();
-        let answer = Answer::new(ask == Ask::Watch);
+        let answer = Answer::new(ask == DiscoveryCall::Watch);
         let after = self.reader.generation();
         let call = Call { ask, former: false, polled, inbound, outbound, answer, after, due };
         self.calls.insert(id, call);
@@ -195,7 +197,7 @@
         let Some(call) = self.calls.get(&id).filter(|c| c.due <= turn.now) else { return };
         // Whether it was ever heard or not, discovery may be there for others: all it takes is another watch, before what
         // this one misses counts.
-        if call.ask == Ask::Watch && !call.former && self.pace.pushed.is_none() {
+        if call.ask == DiscoveryCall::Watch && !call.former && self.pace.pushed.is_none() {
             warn!(turn.log, "watch has fallen silent, opening another");
             self.end(turn, id);
             let wait = REOPEN_WITHIN as f64 * self.pace.turn;
@@ -224,7 +226,7 @@
             }
             let Some(call) = self.calls.get_mut(&id) else { return };
             let done = call.answer.is_done(ended);
-            if call.ask == Ask::Fetch && done {
+            if call.ask == DiscoveryCall::Fetch && done {
                 let body = call.answer.body();
                 match self.reader.line(&turn.clock, &body, call.after) {
                     Ok(Some(n)) => {
@@ -252,7 +254,7 @@
     fn take(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) -> Result<(), String> {
         let Some(call) = self.calls.get_mut(&id) else { return Ok(()) };
         let whole = call.answer.take(&mut call.inbound)?;
-        if call.ask == Ask::Watch {
+        if call.ask == DiscoveryCall::Watch {
             for list in whole.lists {
                 news.extend(self.reader.line(&turn.clock, &list, call.after)?);
             }
--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -31,7 +31,7 @@
         let discovery = Discovery::new(addr, SILENCE, Names::default(), Pace { pushed, turn: at });
         let mut play = Play { turn, discovery, agent, news: Vec::new(), _poll: poll };
         play.turn.now = 0;
-        play.discovery.ask(&mut play.turn, Ask::Watch, &mut play.news);
+        play.discovery.ask(&mut play.turn, DiscoveryCall::Watch, &mut play.news);
         play
     }
 
@@ -171,7 +171,7 @@
         for action in actions {
             match action {
                 Action::Timer { tag, at } => turn.deadlines.set(at, Due::Module(tag)),
-                Action::Watch => discovery.ask(turn, Ask::Watch, news),
+                Action::Watch => discovery.ask(turn, DiscoveryCall::Watch, news),
                 other => panic!("{other:?}"),
             }
         }
--- a/crates/gradeshunt/src/exchange.rs
+++ b/crates/gradeshunt/src/exchange.rs
@@ -20,8 +20,11 @@
 mod tally;
 mod trace;
 
-pub use self::endings::name;
-pub use self::messages::{Answer, AnswerCheck, Ask, Body, Call, Ended, Final, Form, Order, Said, ROOM};
+pub use self::endings::ending_name;
+pub use self::messages::{
+    Answer, AnswerCheck, AnswerForm, AttemptEnd, BackendCommand, Body, DiscoveryCall, FinalAnswer, HostReply,
+    IncomingRequest, MAX_BUFFERED_ANSWER,
+};
 pub use self::state::Exchange;
 pub use self::trace::{AttemptTrace, ConnectionEnd};
 pub use crate::ids::AttemptId;
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -6,7 +6,7 @@
 use leadmast::{Effect, Ending, MemberId, Micros, RequestId};
 use slog::{debug, error, info, warn};
 
-use super::endings::name;
+use super::endings::ending_name;
 use super::messages::AnswerCheck;
 use super::reason::FinalReason;
 use super::state::Exchange;
@@ -94,7 +94,7 @@
         *self.figures.answer_checks.entry(found.name()).or_default() += 1;
         match found {
             AnswerCheck::Own => {}
-            AnswerCheck::Copy => warn!(turn.log, "db host sent an answer twice"; "member" => member.0),
+            AnswerCheck::Duplicate => warn!(turn.log, "db host sent an answer twice"; "member" => member.0),
             AnswerCheck::Unknown => {
                 info!(turn.log, "db host did not answer in time whether an answer is a duplicate"; "member" => member.0)
             }
@@ -104,7 +104,7 @@
     /// Counts a further attempt by the ending of the one before it, `after`.
     pub(super) fn note_retry(&mut self, after: Option<Ending>) {
         if let Some(ending) = after {
-            *self.figures.retries.entry(name(ending)).or_default() += 1;
+            *self.figures.retries.entry(ending_name(ending)).or_default() += 1;
         }
     }
 
@@ -123,7 +123,7 @@
         for earlier in &r.ended_attempts {
             let trace = &earlier.trace;
             debug!(turn.log, "repeat written"; "at" => at, "earlier_ended" => earlier.ended,
-                "earlier_ending" => name(earlier.ending), "earlier_connection_end" => ?trace.connection_end,
+                "earlier_ending" => ending_name(earlier.ending), "earlier_connection_end" => ?trace.connection_end,
                 "earlier_written" => trace.written, "earlier_leased" => trace.leased,
                 "earlier_connection" => trace.connection.map(|c| c.0), "earlier_begun" => earlier.since,
                 "earlier" => earlier.number, "number" => attempt.number, "request" => attempt.request.0);
--- a/crates/gradeshunt/src/exchange/client_side.rs
+++ b/crates/gradeshunt/src/exchange/client_side.rs
@@ -4,7 +4,7 @@
 use leadmast::permission::may_take;
 use leadmast::{Arrival, Effect, Event, RequestId};
 
-use super::messages::{Call, Final, Order, ROOM};
+use super::messages::{BackendCommand, FinalAnswer, IncomingRequest, MAX_BUFFERED_ANSWER};
 use super::reason::FinalReason;
 use super::request::Request;
 use super::state::Exchange;
@@ -14,18 +14,29 @@
 
 impl Exchange {
     /// Takes a request. Every request gets exactly one final answer.
-    pub fn submit(&mut self, turn: &mut Turn, call: Call) -> RequestId {
+    pub fn submit(&mut self, turn: &mut Turn, call: IncomingRequest) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
-        let Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body } = call;
+        let IncomingRequest {
+            class,
+            group,
+            key,
+            deadline,
+            since_write,
+            repeat,
+            checked,
+            tenant,
+            source,
+            body,
+        } = call;
         self.tally.requests += 1;
         // The balancer answers by the deadline. This timer answers the client should it fail to.
-        turn.deadlines.set(deadline + self.slack, Due::Overdue(id));
+        turn.deadlines.set(deadline + self.answer_slack, Due::Overdue(id));
         let place = tenant.map_or(self.figures.tenants.len() - 1, |t| t.0);
         let effect = self.effects.get(class.0).copied().unwrap_or(Effect::Unsafe);
         let request = Request::new(class, effect, group, tenant, place, deadline, body);
         self.requests.insert(id, request);
-        let refused = Final::Refused { retry_after: self.retry_after(class) };
+        let refused = FinalAnswer::Refused { retry_after: self.retry_after(class) };
         // The client's wait time ended while the request was queued: nobody would receive an attempt's
         // answer.
         if may_take(turn.now, deadline).is_err() {
@@ -56,7 +67,11 @@
             // setting, since nothing has reached a db host. A home proxy notices the closed connection and
             // applies the setting itself.
             let abandon = begun || forwarded;
-            self.orders.extend(attempt.map(if abandon { Order::Abandon } else { Order::Withdraw }));
+            self.backend_commands.extend(attempt.map(if abandon {
+                BackendCommand::Cancel
+            } else {
+                BackendCommand::CancelIfUnsent
+            }));
             self.tally.gone += 1;
             self.tally.gone_unsent += u32::from(!written);
             self.figures.gone_unsent += u64::from(!written);
@@ -71,8 +86,12 @@
         r.left = Some(turn.now);
         let forwarded = r.forward.is_some();
         let attempt = r.out.as_ref().map(|out| AttemptId { request: id, number: out.number });
-        self.finish(turn, id, Final::Cancelled, Some(FinalReason::Cancelled));
-        self.orders.extend(attempt.map(if forwarded { Order::Abandon } else { Order::Withdraw }));
+        self.finish(turn, id, FinalAnswer::Cancelled, Some(FinalReason::Cancelled));
+        self.backend_commands.extend(attempt.map(if forwarded {
+            BackendCommand::Cancel
+        } else {
+            BackendCommand::CancelIfUnsent
+        }));
         self.tell(turn, Event::Gone { request: id });
     }
 
@@ -81,10 +100,11 @@
     pub fn unread(&mut self, id: RequestId, got: usize, held: usize) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
         r.queued = r.queued.saturating_sub(got);
-        r.room = ROOM.saturating_sub(held + r.queued);
+        r.room = MAX_BUFFERED_ANSWER.saturating_sub(held + r.queued);
         if let (Some(out), true) = (&r.out, r.stalled && r.room > 0) {
             r.stalled = false;
-            self.orders.push_back(Order::Resume(AttemptId { request: id, number: out.number }));
+            self.backend_commands
+                .push_back(BackendCommand::Resume(AttemptId { request: id, number: out.number }));
         }
     }
 }
--- a/crates/gradeshunt/src/exchange/decisions.rs
+++ b/crates/gradeshunt/src/exchange/decisions.rs
@@ -6,8 +6,8 @@
 use leadmast::{Action, Ending, Entry, Event, ListKind, MemberId, Micros, Outcome, RequestId, TimerTag};
 use slog::debug;
 
-use super::endings::{name, outcome_of};
-use super::messages::{Ask, Final, Order};
+use super::endings::{ending_name, immediate_outcome};
+use super::messages::{BackendCommand, DiscoveryCall, FinalAnswer};
 use super::request::{Out, Request};
 use super::state::Exchange;
 use crate::deadlines::Due;
@@ -37,7 +37,7 @@
         self.events.push_back(event);
         // Carrying out an action can raise another event at once, such as an attempt that is never sent. That
         // event is queued until the balancer has returned; the outer call's loop handles it.
-        if std::mem::replace(&mut self.telling, true) {
+        if std::mem::replace(&mut self.is_handling_event, true) {
             return;
         }
         while let Some(event) = self.events.pop_front() {
@@ -57,7 +57,7 @@
             }
             self.actions = actions;
         }
-        self.telling = false;
+        self.is_handling_event = false;
     }
 
     /// Carries out one action of the balancer.
@@ -67,23 +67,24 @@
             Action::Cancel { request, attempt } => {
                 let out = self.requests.get(&request).and_then(|r| r.out.as_ref());
                 if out.is_some_and(|o| o.number == attempt) {
-                    self.orders.push_back(Order::Abandon(AttemptId { request, number: attempt }));
+                    self.backend_commands
+                        .push_back(BackendCommand::Cancel(AttemptId { request, number: attempt }));
                 }
             }
             Action::Refuse { request, retry_after } => {
                 let reason = self.requests.get(&request).map(Request::given_up_because);
-                self.finish(turn, request, Final::Refused { retry_after }, reason)
+                self.finish(turn, request, FinalAnswer::Refused { retry_after }, reason)
             }
             Action::Fail { request } => {
                 let reason = self.requests.get(&request).map(Request::given_up_because);
                 let error = self.requests.get_mut(&request).and_then(|r| r.error.take());
-                self.finish(turn, request, Final::Failed(error), reason);
+                self.finish(turn, request, FinalAnswer::Failed(error), reason);
             }
-            Action::Probe { member } => self.orders.push_back(Order::Probe(member)),
-            Action::Close { member } => self.orders.push_back(Order::CloseIdle(member)),
+            Action::Probe { member } => self.backend_commands.push_back(BackendCommand::Probe(member)),
+            Action::Close { member } => self.backend_commands.push_back(BackendCommand::CloseIdle(member)),
             Action::Timer { tag, at } => turn.deadlines.set(at, Due::Module(tag)),
-            Action::Watch => self.asks.push_back(Ask::Watch),
-            Action::Fetch => self.asks.push_back(Ask::Fetch),
+            Action::Watch => self.discovery_calls.push_back(DiscoveryCall::Watch),
+            Action::Fetch => self.discovery_calls.push_back(DiscoveryCall::Fetch),
         }
     }
 
@@ -91,7 +92,8 @@
     fn send(&mut self, turn: &mut Turn, id: RequestId, member: MemberId, timeout: Micros) {
         let Some(r) = self.requests.get_mut(&id) else {
             let attempt = AttemptId { request: id, number: 0 };
-            return self.outcome(turn, Outcome { last: true, ..outcome_of(attempt, member, Ending::Moot) });
+            return self
+                .outcome(turn, Outcome { last: true, ..immediate_outcome(attempt, member, Ending::Moot) });
         };
         let (number, facts) = (r.sends, r.facts());
         r.sends += 1;
@@ -102,7 +104,7 @@
         let until = r.deadline.min(turn.now + timeout);
         if let Err(denial) = may_begin(turn.now, &facts, &self.limits, None) {
             self.denied(turn, attempt, denial);
-            return self.outcome(turn, Outcome { last, ..outcome_of(attempt, member, Ending::Moot) });
+            return self.outcome(turn, Outcome { last, ..immediate_outcome(attempt, member, Ending::Moot) });
         }
         // Db hosts recognize a repeat only within its window, counted from the first send. A connection that
         // comes up late must not carry it past that.
@@ -110,12 +112,18 @@
         self.note_retry(after);
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.out = Some(Out { number, member, since: turn.now });
-        self.orders.push_back(Order::Start { attempt, member, body: Rc::clone(&r.body), until, write_by });
+        self.backend_commands.push_back(BackendCommand::Start {
+            attempt,
+            member,
+            body: Rc::clone(&r.body),
+            until,
+            write_by,
+        });
     }
 
     /// Reports the outcome of an attempt to the balancer.
     pub(super) fn outcome(&mut self, turn: &mut Turn, outcome: Outcome) {
-        *self.tally.endings.entry(name(outcome.ending)).or_default() += 1;
+        *self.tally.endings.entry(ending_name(outcome.ending)).or_default() += 1;
         site_loss::see(&mut self.sites, turn.now, outcome.member, outcome.ending, outcome.elapsed);
         self.tell(turn, Event::Outcome(outcome));
     }
--- a/crates/gradeshunt/src/exchange/endings.rs
+++ b/crates/gradeshunt/src/exchange/endings.rs
@@ -5,14 +5,14 @@
 use crate::ids::AttemptId;
 
 /// The outcome of an attempt that ended immediately and without a reply.
-pub(super) fn outcome_of(attempt: AttemptId, member: MemberId, ending: Ending) -> Outcome {
+pub(super) fn immediate_outcome(attempt: AttemptId, member: MemberId, ending: Ending) -> Outcome {
     let AttemptId { request, number: attempt } = attempt;
     let (last, elapsed, note, report, settled_at) = (false, 0, None, None, None);
     Outcome { request, attempt, member, ending, last, elapsed, note, report, settled_at }
 }
 
 /// An ending's name in the log.
-pub fn name(ending: Ending) -> &'static str {
+pub fn ending_name(ending: Ending) -> &'static str {
     match ending {
         Ending::Ok => "ok",
         Ending::Error => "error",
--- a/crates/gradeshunt/src/exchange/final_answers.rs
+++ b/crates/gradeshunt/src/exchange/final_answers.rs
@@ -3,7 +3,7 @@
 use leadmast::{Event, RequestId};
 use slog::error;
 
-use super::messages::{Answer, Final};
+use super::messages::{Answer, FinalAnswer};
 use super::reason::FinalReason;
 use super::state::Exchange;
 use crate::deadlines::Due;
@@ -14,7 +14,7 @@
     pub fn overdue(&mut self, turn: &mut Turn, id: RequestId) {
         if self.requests.get(&id).is_some_and(|r| !r.over) {
             error!(turn.log, "no final answer by the deadline; failing the request"; "request" => id.0);
-            self.finish(turn, id, Final::Failed(None), Some(FinalReason::Overdue));
+            self.finish(turn, id, FinalAnswer::Failed(None), Some(FinalReason::Overdue));
             self.tell(turn, Event::Gone { request: id });
         }
     }
@@ -27,9 +27,9 @@
             let Some(r) = self.requests.get(&id) else { continue };
             let retry_after = self.retry_after(r.class);
             let answer = match (r.begun, r.doubt_since.is_some() || r.written) {
-                (true, _) => Final::Broken,
-                (false, true) => Final::Failed(None),
-                (false, false) => Final::Refused { retry_after },
+                (true, _) => FinalAnswer::Interrupted,
+                (false, true) => FinalAnswer::Failed(None),
+                (false, false) => FinalAnswer::Refused { retry_after },
             };
             self.finish(turn, id, answer, Some(FinalReason::Leaving));
             self.tell(turn, Event::Gone { request: id });
@@ -46,13 +46,13 @@
         &mut self,
         turn: &mut Turn,
         id: RequestId,
-        answer: Final,
+        answer: FinalAnswer,
         reason: Option<FinalReason>,
     ) {
         let of = self.requests.get(&id).filter(|r| !r.over).map(|r| (r.class.0, r.tenant, r.beyond));
         if of.is_some() {
             self.audit_answer(turn, id, reason);
-            let refused = matches!(answer, Final::Refused { .. });
+            let refused = matches!(answer, FinalAnswer::Refused { .. });
             reason.into_iter().for_each(|reason| self.note_reason(turn, id, refused, reason));
         }
         if !self.end(turn, id) {
@@ -64,9 +64,11 @@
         let finals = &mut self.tally.finals;
         for count in [Some(finals), Some(tenant), self.figures.classes.get_mut(class)].into_iter().flatten() {
             match &answer {
-                Final::Served(_) => count.served += 1,
-                Final::Refused { .. } => count.refused += 1,
-                Final::Failed(_) | Final::Cancelled | Final::Broken => count.failed += 1,
+                FinalAnswer::Served(_) => count.served += 1,
+                FinalAnswer::Refused { .. } => count.refused += 1,
+                FinalAnswer::Failed(_) | FinalAnswer::Cancelled | FinalAnswer::Interrupted => {
+                    count.failed += 1
+                }
             }
         }
         self.answers.push_back((id, Answer::Final(answer)));
@@ -76,7 +78,7 @@
     pub(super) fn end(&mut self, turn: &mut Turn, id: RequestId) -> bool {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return false };
         r.over = true;
-        turn.deadlines.clear(r.deadline + self.slack, Due::Overdue(id));
+        turn.deadlines.clear(r.deadline + self.answer_slack, Due::Overdue(id));
         self.forget_if_done(id);
         true
     }
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -7,7 +7,7 @@
 use slog::{debug, warn};
 
 use super::endings;
-use super::messages::{Final, Form, Order, Said};
+use super::messages::{AnswerForm, BackendCommand, FinalAnswer, HostReply};
 use super::reason::FinalReason;
 use super::request::{Forward, Out};
 use super::state::Exchange;
@@ -34,7 +34,7 @@
         // Another proxy can stand in for a db host only for requests that state their wait time and return
         // one value.
         let body = self.requests.get(&id).map(|r| &r.body);
-        let plain = body.is_none_or(|b| !b.tells_wait() || b.form != Form::Value);
+        let plain = body.is_none_or(|b| !b.states_wait() || b.form != AnswerForm::Value);
         let Some(placing) = &mut self.placing else { return self.serve_here(turn, arrival) };
         if source == Source::Proxy {
             placing.counts.taken += 1;
@@ -66,13 +66,13 @@
 
     fn refuse(&mut self, turn: &mut Turn, id: RequestId) {
         let retry_after = self.requests.get(&id).and_then(|r| self.retry_after(r.class));
-        self.finish(turn, id, Final::Refused { retry_after }, Some(FinalReason::NoHome));
+        self.finish(turn, id, FinalAnswer::Refused { retry_after }, Some(FinalReason::NoHome));
     }
 
     fn send_on(&mut self, turn: &mut Turn, id: RequestId, peer: MemberId, mut forward: Forward) {
         let Some(r) = self.requests.get(&id) else { return };
         // Leaves time for the home's answer to reach this proxy.
-        let last = r.deadline - self.hop;
+        let last = r.deadline - self.forward_time;
         if last <= turn.now {
             return self.refuse(turn, id);
         }
@@ -91,7 +91,13 @@
         r.forward = Some(Box::new(forward));
         let body = std::rc::Rc::clone(&r.body);
         let attempt = AttemptId { request: id, number };
-        self.orders.push_back(Order::Start { attempt, member: peer, body, until, write_by });
+        self.backend_commands.push_back(BackendCommand::Start {
+            attempt,
+            member: peer,
+            body,
+            until,
+            write_by,
+        });
     }
 
     /// Whether a request that may have run may be sent again at `at`.
@@ -108,13 +114,13 @@
         id: RequestId,
         out: Out,
         ending: Ending,
-        said: Said,
+        said: HostReply,
     ) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(forward) = r.forward.take() else { return };
         let (over, begun, group) = (r.over, r.begun, r.group);
         let again_at = r.settled_at.map_or(turn.now, |settled| settled.max(turn.now));
-        let leaving = matches!(said, Said::Leaving);
+        let leaving = matches!(said, HostReply::Leaving);
         let ran = !ending.never_ran() && !leaving;
         if ran {
             r.doubt_since.get_or_insert(out.since);
@@ -124,20 +130,22 @@
             return self.forget_if_done(id);
         }
         match said {
-            Said::Answer(bytes) => self.finish(turn, id, Final::Served(bytes), None),
-            _ if begun => self.finish(turn, id, Final::Broken, Some(FinalReason::ValueCut)),
-            Said::Verdict(bytes) | Said::Error(bytes) => {
-                self.finish(turn, id, Final::Failed(Some(bytes)), Some(FinalReason::MayHaveRun))
+            HostReply::Answer(bytes) => self.finish(turn, id, FinalAnswer::Served(bytes), None),
+            _ if begun => self.finish(turn, id, FinalAnswer::Interrupted, Some(FinalReason::ValueCut)),
+            HostReply::StatementError(bytes) | HostReply::Error(bytes) => {
+                self.finish(turn, id, FinalAnswer::Failed(Some(bytes)), Some(FinalReason::MayHaveRun))
+            }
+            HostReply::PossibleDuplicate => {
+                self.finish(turn, id, FinalAnswer::Failed(None), Some(FinalReason::AnswerUnclear))
             }
-            Said::Unclear => self.finish(turn, id, Final::Failed(None), Some(FinalReason::AnswerUnclear)),
-            Said::Refused { retry_after } => {
-                self.finish(turn, id, Final::Refused { retry_after }, Some(FinalReason::HomeRefused))
+            HostReply::Refused { retry_after } => {
+                self.finish(turn, id, FinalAnswer::Refused { retry_after }, Some(FinalReason::HomeRefused))
             }
-            Said::Nothing | Said::Leaving if !ran || self.may_repeat(turn.now, id, again_at) => {
+            HostReply::Nothing | HostReply::Leaving if !ran || self.may_repeat(turn.now, id, again_at) => {
                 self.send_on_at(turn, id, *forward, again_at);
             }
-            Said::Nothing | Said::Leaving => {
-                self.finish(turn, id, Final::Failed(None), Some(FinalReason::MayHaveRun))
+            HostReply::Nothing | HostReply::Leaving => {
+                self.finish(turn, id, FinalAnswer::Failed(None), Some(FinalReason::MayHaveRun))
             }
         }
         self.forget_if_done(id);
@@ -168,22 +176,26 @@
         turn: &mut Turn,
         out: &Out,
         ending: Ending,
-        said: &Said,
+        said: &HostReply,
         group: leadmast::GroupId,
     ) {
         let Some(placing) = &mut self.placing else { return };
         match (said, ending) {
             (
-                Said::Answer(_) | Said::Verdict(_) | Said::Error(_) | Said::Refused { .. } | Said::Unclear,
+                HostReply::Answer(_)
+                | HostReply::StatementError(_)
+                | HostReply::Error(_)
+                | HostReply::Refused { .. }
+                | HostReply::PossibleDuplicate,
                 _,
             ) => {
                 placing.answered(turn.now, out.member, group);
             }
-            (Said::Nothing, Ending::Moot | Ending::Cancelled | Ending::Ok | Ending::Error) => {}
-            (Said::Leaving, _) | (Said::Nothing, _) => {
+            (HostReply::Nothing, Ending::Moot | Ending::Cancelled | Ending::Ok | Ending::Error) => {}
+            (HostReply::Leaving, _) | (HostReply::Nothing, _) => {
                 if placing.failed(turn.now, out.member) {
                     let name = placing.name(out.member).map(str::to_owned);
-                    warn!(turn.log, "home proxy is unavailable"; "ending" => endings::name(ending), "name" => name);
+                    warn!(turn.log, "home proxy is unavailable"; "ending" => endings::ending_name(ending), "name" => name);
                     self.leave_peer(turn.now, out.member);
                 }
             }
@@ -193,13 +205,13 @@
     /// Abandons the forwards at an unresponsive proxy that may be repeated, and closes the idle connections
     /// to it: the next request needs a new one.
     fn leave_peer(&mut self, now: Micros, peer: MemberId) {
-        self.orders.push_back(Order::CloseIdle(peer));
+        self.backend_commands.push_back(BackendCommand::CloseIdle(peer));
         let at_peer = self.requests.iter().filter_map(|(id, r)| {
             let out = r.out.as_ref().filter(|out| out.member == peer && !r.begun && !r.over)?;
             Some(AttemptId { request: *id, number: out.number })
         });
         let repeatable: Vec<_> =
             at_peer.filter(|attempt| self.may_repeat(now, attempt.request, now)).collect();
-        self.orders.extend(repeatable.into_iter().map(Order::Abandon));
+        self.backend_commands.extend(repeatable.into_iter().map(BackendCommand::Cancel));
     }
 }
--- a/crates/gradeshunt/src/exchange/messages.rs
+++ b/crates/gradeshunt/src/exchange/messages.rs
@@ -11,11 +11,11 @@
 use crate::memory::Held;
 
 /// Bytes of a long answer that may be buffered between the backend and a client.
-pub const ROOM: usize = 64 * 1024;
+pub const MAX_BUFFERED_ANSWER: usize = 64 * 1024;
 
 /// The shape that an answer must have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum AnswerForm {
     /// One row with one column.
     #[default]
     Value,
@@ -27,17 +27,17 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Body {
     bytes: Vec<u8>,
-    pub(super) wait_at: Option<Range<usize>>,
+    pub(super) wait_range: Option<Range<usize>>,
     /// The shape that its answer must have.
-    pub form: Form,
+    pub form: AnswerForm,
     held: Held,
 }
 
 impl Body {
-    pub fn new(bytes: Vec<u8>, wait_at: Option<Range<usize>>, form: Form) -> Self {
+    pub fn new(bytes: Vec<u8>, wait_at: Option<Range<usize>>, form: AnswerForm) -> Self {
         let mut held = Held::default();
         held.set(bytes.len());
-        Body { bytes, wait_at, form, held }
+        Body { bytes, wait_range: wait_at, form, held }
     }
 
     /// The length in bytes.
@@ -46,14 +46,14 @@
     }
 
     /// Whether the statement tells the db host how long the client waits.
-    pub fn tells_wait(&self) -> bool {
-        self.wait_at.is_some()
+    pub fn states_wait(&self) -> bool {
+        self.wait_range.is_some()
     }
 
     /// The bytes before and after the wait time; all bytes and `None` where the statement states no wait
     /// time.
-    pub fn around_wait(&self) -> (&[u8], Option<&[u8]>) {
-        match &self.wait_at {
+    pub fn split_at_wait(&self) -> (&[u8], Option<&[u8]>) {
+        match &self.wait_range {
             Some(at) => (&self.bytes[..at.start], Some(&self.bytes[at.end..])),
             None => (&self.bytes, None),
         }
@@ -62,7 +62,7 @@
 
 /// A request as its client sent it.
 #[derive(Debug)]
-pub struct Call {
+pub struct IncomingRequest {
     pub class: ClassId,
     pub group: GroupId,
     pub key: Option<u64>,
@@ -83,12 +83,12 @@
 pub enum Answer {
     /// A part of a long answer; more follows.
     Part(Vec<u8>),
-    Final(Final),
+    Final(FinalAnswer),
 }
 
 /// A final answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// The answer as a db host sent it, or its remaining bytes if earlier parts were passed on.
     Served(Vec<u8>),
     /// Not executed: the client may safely send it again, after `retry_after` where that is set.
@@ -98,12 +98,12 @@
     /// Cancelled by its client.
     Cancelled,
     /// Interrupted after parts of it were passed on: the client must see that it is incomplete.
-    Broken,
+    Interrupted,
 }
 
 /// A command to the backend.
 #[derive(Debug)]
-pub enum Order {
+pub enum BackendCommand {
     Start {
         attempt: AttemptId,
         member: MemberId,
@@ -112,9 +112,9 @@
         /// The attempt must not be written after this time, even if its connection comes up later.
         write_by: Micros,
     },
-    Abandon(AttemptId),
+    Cancel(AttemptId),
     /// The client has left: cancel the attempt unless it has already been sent.
-    Withdraw(AttemptId),
+    CancelIfUnsent(AttemptId),
     /// The frontend can take more of a long answer.
     Resume(AttemptId),
     Probe(MemberId),
@@ -123,18 +123,18 @@
 
 /// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum DiscoveryCall {
     Watch,
     Fetch,
 }
 
 /// The end of an attempt.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptEnd {
     pub attempt: AttemptId,
     pub ending: Ending,
     pub note: Option<Note>,
-    pub said: Said,
+    pub reply: HostReply,
     pub trace: AttemptTrace,
 }
 
@@ -144,7 +144,7 @@
     /// The answer belongs to its request.
     Own,
     /// It was a duplicate; the request's own answer followed.
-    Copy,
+    Duplicate,
     /// The db host did not answer the check in time.
     Unknown,
 }
@@ -154,7 +154,7 @@
     pub fn name(self) -> &'static str {
         match self {
             AnswerCheck::Own => "own",
-            AnswerCheck::Copy => "copy",
+            AnswerCheck::Duplicate => "copy",
             AnswerCheck::Unknown => "unknown",
         }
     }
@@ -162,14 +162,14 @@
 
 /// The part of a db host's reply that decides the client's answer.
 #[derive(Debug)]
-pub enum Said {
+pub enum HostReply {
     Nothing,
     /// A complete answer.
     Answer(Vec<u8>),
     /// An error of the db host; another attempt may succeed.
     Error(Vec<u8>),
     /// An error of the statement itself, such as a duplicate key: any db host would return it.
-    Verdict(Vec<u8>),
+    StatementError(Vec<u8>),
     /// The db host refused the request, possibly with a time after which to retry.
     Refused {
         retry_after: Option<Micros>,
@@ -177,5 +177,5 @@
     /// The proxy that received the request is shutting down and has not read it.
     Leaving,
     /// A reply that may answer another request; this request may still be running on the db host.
-    Unclear,
+    PossibleDuplicate,
 }
--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -7,7 +7,7 @@
 use leadmast::permission::{Doubt, RequestFacts};
 use leadmast::{Arrival, ClassId, Effect, Ending, GroupId, MemberId, Micros, TenantId};
 
-use super::messages::{Body, ROOM};
+use super::messages::{Body, MAX_BUFFERED_ANSWER};
 use super::reason::FinalReason;
 use super::trace::{ConnectionEnd, EndedAttempt};
 
@@ -103,7 +103,7 @@
             error: None,
             forward: None,
             begun: false,
-            room: ROOM,
+            room: MAX_BUFFERED_ANSWER,
             queued: 0,
             stalled: false,
         }
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -3,8 +3,8 @@
 use leadmast::permission::settled_at;
 use leadmast::{Ending, Event, Micros, Note, Outcome, Probed};
 
-use super::endings::outcome_of;
-use super::messages::{Answer, Ended, Final, Said};
+use super::endings::immediate_outcome;
+use super::messages::{Answer, AttemptEnd, FinalAnswer, HostReply};
 use super::reason::FinalReason;
 use super::state::Exchange;
 use super::trace::{ConnectionEnd, EndedAttempt};
@@ -14,7 +14,7 @@
 use crate::turn::Turn;
 
 impl Exchange {
-    /// The number of bytes of a long answer that the frontend can take. After 0, [`Order::Resume`] follows
+    /// The number of bytes of a long answer that the frontend can take. After 0, [`BackendCommand::Resume`] follows
     /// once there is room.
     pub fn room(&mut self, attempt: AttemptId) -> usize {
         let Some(r) = self.requests.get_mut(&attempt.request).filter(|r| !r.over) else { return 0 };
@@ -39,21 +39,22 @@
         r.queued += bytes.len();
         self.answers.push_back((id, Answer::Part(bytes)));
         if !std::mem::replace(&mut r.begun, true) {
-            turn.deadlines.clear(r.deadline + self.slack, Due::Overdue(id));
+            turn.deadlines.clear(r.deadline + self.answer_slack, Due::Overdue(id));
             // The balancer does not know of requests that another proxy serves.
             if r.forward.is_none() {
                 let last = true;
                 self.outcome(
                     turn,
-                    Outcome { last, elapsed, note, ..outcome_of(attempt, member, Ending::Ok) },
+                    Outcome { last, elapsed, note, ..immediate_outcome(attempt, member, Ending::Ok) },
                 );
             }
         }
     }
 
     /// An attempt has ended, at a db host or at another proxy.
-    pub fn ended(&mut self, turn: &mut Turn, ended: Ended) {
-        let Ended { attempt: AttemptId { request: id, number }, ending, note, said, trace } = ended;
+    pub fn ended(&mut self, turn: &mut Turn, ended: AttemptEnd) {
+        let AttemptEnd { attempt: AttemptId { request: id, number }, ending, note, reply: said, trace } =
+            ended;
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(out) = r.out.take_if(|o| o.number == number) else { return };
         // Reads the clock for the time of the close: the turn may have begun long before.
@@ -72,18 +73,22 @@
         }
         let (over, begun) = (r.over, r.begun);
         let answer = match said {
-            Said::Answer(bytes) => Some((Final::Served(bytes), None)),
-            _ if begun => Some((Final::Broken, Some(FinalReason::ValueCut))),
-            Said::Verdict(bytes) => Some((Final::Failed(Some(bytes)), Some(FinalReason::Statement))),
-            Said::Unclear => Some((Final::Failed(None), Some(FinalReason::AnswerUnclear))),
-            Said::Error(bytes) => {
+            HostReply::Answer(bytes) => Some((FinalAnswer::Served(bytes), None)),
+            _ if begun => Some((FinalAnswer::Interrupted, Some(FinalReason::ValueCut))),
+            HostReply::StatementError(bytes) => {
+                Some((FinalAnswer::Failed(Some(bytes)), Some(FinalReason::Statement)))
+            }
+            HostReply::PossibleDuplicate => {
+                Some((FinalAnswer::Failed(None), Some(FinalReason::AnswerUnclear)))
+            }
+            HostReply::Error(bytes) => {
                 r.error = Some(bytes);
                 None
             }
-            Said::Nothing | Said::Refused { .. } | Said::Leaving => None,
+            HostReply::Nothing | HostReply::Refused { .. } | HostReply::Leaving => None,
         };
         let last = over || answer.is_some();
-        let broken = matches!(answer, Some((Final::Broken, _)));
+        let broken = matches!(answer, Some((FinalAnswer::Interrupted, _)));
         if let Some((answer, reason)) = answer {
             self.finish(turn, id, answer, reason);
         }
@@ -97,7 +102,7 @@
         let verdict = last && ending == Ending::Error && !over;
         let ending = if verdict { Ending::Cancelled } else { ending };
         let elapsed = turn.now - out.since;
-        let outcome = outcome_of(AttemptId { request: id, number }, out.member, ending);
+        let outcome = immediate_outcome(AttemptId { request: id, number }, out.member, ending);
         self.outcome(turn, Outcome { last, elapsed, note, settled_at, ..outcome });
     }
 
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -7,7 +7,7 @@
 use leadmast::permission::AttemptLimits;
 use leadmast::{Action, Balancer, ClassId, Effect, Event, Micros, RequestId, Settings};
 
-use super::messages::{Answer, Ask, Order};
+use super::messages::{Answer, BackendCommand, DiscoveryCall};
 use super::request::Request;
 use super::tally::Tally;
 use crate::figures::{Count, Figures, TenantCount};
@@ -17,13 +17,13 @@
 /// Tracks requests and attempts, and carries out the balancer's decisions.
 pub struct Exchange {
     pub(super) balancer: Balancer,
-    pub(super) slack: Micros,
+    pub(super) answer_slack: Micros,
     pub(super) limits: AttemptLimits,
     pub(super) drain_grace: Micros,
     pub(super) requests: BTreeMap<RequestId, Request>,
     pub(super) next: u64,
     pub(super) events: VecDeque<Event>,
-    pub(super) telling: bool,
+    pub(super) is_handling_event: bool,
     pub(super) actions: Vec<Action>,
     pub(super) tally: Tally,
     pub(super) figures: Figures,
@@ -35,15 +35,15 @@
     /// Decides which requests go to other proxies, where operators have a placement file.
     pub placing: Option<Placing>,
     /// The longest time that an answer takes from one proxy to another.
-    pub(super) hop: Micros,
+    pub(super) forward_time: Micros,
     /// Indexed by class.
     pub(super) effects: Vec<Effect>,
     /// Indexed by class.
     pub(super) retry_after: Vec<Option<Micros>>,
     /// Commands for the backend.
-    pub orders: VecDeque<Order>,
+    pub backend_commands: VecDeque<BackendCommand>,
     /// Calls to discovery.
-    pub asks: VecDeque<Ask>,
+    pub discovery_calls: VecDeque<DiscoveryCall>,
     /// Answers for the frontend.
     pub answers: VecDeque<(RequestId, Answer)>,
 }
@@ -57,7 +57,7 @@
                 tenants: vec![TenantCount::default(); settings.tenants.len() + 1],
                 ..Figures::default()
             },
-            slack: settings.rules.answer_slack,
+            answer_slack: settings.rules.answer_slack,
             limits: AttemptLimits {
                 attempts: settings.allowed.attempts,
                 // This proxy never runs two attempts of a request at once, whatever the settings allow.
@@ -67,18 +67,18 @@
             drain_grace: settings.rules.drain_grace,
             sites: None,
             placing: None,
-            hop: settings.tick,
+            forward_time: settings.tick,
             effects: settings.classes.iter().map(|c| c.effect).collect(),
             retry_after: settings.classes.iter().map(|c| site_loss::back(&settings, c)).collect(),
             balancer: Balancer::new(settings, seed, now),
             requests: BTreeMap::new(),
             next: 0,
             events: VecDeque::new(),
-            telling: false,
+            is_handling_event: false,
             actions: Vec::new(),
             tally: Tally::default(),
-            orders: VecDeque::new(),
-            asks: VecDeque::new(),
+            backend_commands: VecDeque::new(),
+            discovery_calls: VecDeque::new(),
             answers: VecDeque::new(),
         }
     }
--- a/crates/gradeshunt/src/exchange/tests.rs
+++ b/crates/gradeshunt/src/exchange/tests.rs
@@ -4,7 +4,10 @@
 use leadmast::invariant::Rule;
 use leadmast::*;
 
-use super::{AttemptId, AttemptTrace, Body, Call, ConnectionEnd, Ended, Exchange, Form, Order, Said};
+use super::{
+    AnswerForm, AttemptEnd, AttemptId, AttemptTrace, BackendCommand, Body, ConnectionEnd, Exchange,
+    HostReply, IncomingRequest,
+};
 use crate::turn::{Ready, Turn};
 
 const GROUP: GroupId = GroupId(0);
@@ -60,7 +63,7 @@
         settings.classes[class].effect = effect.unwrap_or(settings.classes[class].effect);
         let mut exchange = Exchange::new(settings, Vec::new(), 7, turn.now);
         exchange.members(&mut turn, ListKind::Full, vec![entry(0), entry(1)]);
-        let call = Call {
+        let call = IncomingRequest {
             class: ClassId(class),
             group: GROUP,
             key: Some(1),
@@ -70,7 +73,7 @@
             checked: false,
             tenant: None,
             source: Source::Client,
-            body: Body::new(b"SELECT 1".to_vec(), None, Form::Value),
+            body: Body::new(b"SELECT 1".to_vec(), None, AnswerForm::Value),
         };
         exchange.submit(&mut turn, call);
         let first = next_start(&mut exchange).expect("no attempt was started");
@@ -82,8 +85,13 @@
     fn repeat_behind(&mut self, connection_end: ConnectionEnd) -> u64 {
         self.exchange.dispatched(&self.turn, self.first, None);
         let trace = AttemptTrace { connection_end, ..AttemptTrace::default() };
-        let ended =
-            Ended { attempt: self.first, ending: Ending::Error, note: None, said: Said::Nothing, trace };
+        let ended = AttemptEnd {
+            attempt: self.first,
+            ending: Ending::Error,
+            note: None,
+            reply: HostReply::Nothing,
+            trace,
+        };
         self.exchange.ended(&mut self.turn, ended);
         let repeat = next_start(&mut self.exchange).expect("no further attempt was started");
         self.exchange.dispatched(&self.turn, repeat, None);
@@ -97,7 +105,7 @@
     let mut play = Play::open_with(Some(Effect::Unsafe));
     let written = is_written.then_some(play.turn.now);
     let trace = AttemptTrace { written, ..AttemptTrace::default() };
-    let ended = Ended { attempt: play.first, ending, note: None, said: Said::Nothing, trace };
+    let ended = AttemptEnd { attempt: play.first, ending, note: None, reply: HostReply::Nothing, trace };
     play.exchange.ended(&mut play.turn, ended);
     play.turn.now += DEADLINE / 2;
     play.exchange.timer(&mut play.turn, TimerTag(0));
@@ -118,8 +126,8 @@
 
 /// Returns the next attempt that the backend is ordered to start.
 fn next_start(exchange: &mut Exchange) -> Option<AttemptId> {
-    std::iter::from_fn(|| exchange.orders.pop_front()).find_map(|order| match order {
-        Order::Start { attempt, .. } => Some(attempt),
+    std::iter::from_fn(|| exchange.backend_commands.pop_front()).find_map(|command| match command {
+        BackendCommand::Start { attempt, .. } => Some(attempt),
         _ => None,
     })
 }
--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -21,7 +21,7 @@
 use leadmast::{Micros, RequestId, Settings};
 
 use self::session::Session;
-use crate::exchange::ROOM;
+use crate::exchange::MAX_BUFFERED_ANSWER;
 use crate::ids::SessionId;
 use crate::pg::{LONGEST_ANSWER, WHOLE_ROW};
 use crate::ring::LARGEST;
@@ -32,7 +32,9 @@
 const UNREAD_LIMIT: usize = LARGEST - LONGEST_ANSWER - 1024;
 /// A final answer has to fit behind what is unread: one of a value, at most [`UNREAD_LIMIT`]; the rest of a whole result, of which
 /// no more is held than this, too.
-const _: () = assert!(UNREAD_LIMIT + LONGEST_ANSWER < LARGEST && ROOM + WHOLE_ROW + LONGEST_ANSWER < LARGEST);
+const _: () = assert!(
+    UNREAD_LIMIT + LONGEST_ANSWER < LARGEST && MAX_BUFFERED_ANSWER + WHOLE_ROW + LONGEST_ANSWER < LARGEST
+);
 
 /// Who waits for a request, and its id.
 struct Owner {
--- a/crates/gradeshunt/src/frontend/answers.rs
+++ b/crates/gradeshunt/src/frontend/answers.rs
@@ -6,7 +6,7 @@
 use super::closing::CloseReason;
 use super::session::{Session, Stage};
 use super::Frontend;
-use crate::exchange::{Exchange, Final};
+use crate::exchange::{Exchange, FinalAnswer};
 use crate::ids::SessionId;
 use crate::pg::{sqlstate, Writer};
 use crate::turn::Turn;
@@ -31,7 +31,13 @@
     }
 
     /// The final answer of a request.
-    pub fn answer(&mut self, turn: &mut Turn, exchange: &mut Exchange, request: RequestId, answer: Final) {
+    pub fn answer(
+        &mut self,
+        turn: &mut Turn,
+        exchange: &mut Exchange,
+        request: RequestId,
+        answer: FinalAnswer,
+    ) {
         let Some(id) = self.release_request(request) else { return };
         let Some(s) = self.sessions.get_mut(&id) else { return };
         (s.stage, s.since) = (Stage::Ready, turn.now);
@@ -41,8 +47,8 @@
         }
         let w = Writer::default();
         let w = match answer {
-            Final::Served(bytes) => Writer(bytes),
-            Final::Refused { retry_after } => {
+            FinalAnswer::Served(bytes) => Writer(bytes),
+            FinalAnswer::Refused { retry_after } => {
                 let after = retry_after.map(|t| ((t + 999) / 1000).to_string());
                 w.error(
                     "ERROR",
@@ -52,12 +58,12 @@
                 )
             }
             // An error would pass for bytes of the value that was cut.
-            Final::Broken => return self.close_with(turn, id, w, CloseReason::ValueCut),
-            Final::Cancelled => {
+            FinalAnswer::Interrupted => return self.close_with(turn, id, w, CloseReason::ValueCut),
+            FinalAnswer::Cancelled => {
                 w.error("ERROR", sqlstate::QUERY_CANCELED, "canceling statement due to user request", None)
             }
-            Final::Failed(Some(error)) => Writer(error),
-            Final::Failed(None) => {
+            FinalAnswer::Failed(Some(error)) => Writer(error),
+            FinalAnswer::Failed(None) => {
                 w.error("ERROR", sqlstate::SYSTEM_ERROR, "no db host has answered in time", None)
             }
         };
--- a/crates/gradeshunt/src/frontend/statements.rs
+++ b/crates/gradeshunt/src/frontend/statements.rs
@@ -8,7 +8,7 @@
 use slog::debug;
 
 use super::{Frontend, Service};
-use crate::exchange::{Body, Call, Form};
+use crate::exchange::{AnswerForm, Body, IncomingRequest};
 use crate::ids::SessionId;
 use crate::pg::{self, sqlstate, Writer};
 use crate::routing::{Decision, Routed};
@@ -18,7 +18,7 @@
 pub(super) enum Step {
     Reply(Writer),
     /// A request, and its id.
-    Call(Box<Call>, Rc<str>),
+    Call(Box<IncomingRequest>, Rc<str>),
 }
 
 impl Frontend {
@@ -88,9 +88,20 @@
         let (repeat, wait_at) = (c.repeat, c.wait_at);
         let tenant = c.tenant.and_then(|t| self.names.tenant(t));
         debug!(turn.log, "request"; "class" => class.0, "wait_ms" => c.wait_ms);
-        let body = Body::new(text, Some(wait_at), Form::Value);
+        let body = Body::new(text, Some(wait_at), AnswerForm::Value);
         let checked = true;
-        let call = Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body };
+        let call = IncomingRequest {
+            class,
+            group,
+            key,
+            deadline,
+            since_write,
+            repeat,
+            checked,
+            tenant,
+            source,
+            body,
+        };
         Ok(Step::Call(Box::new(call), id))
     }
 
@@ -121,15 +132,26 @@
             let mut body = format!("/* id={id},c={},d=", self.names.classes[class.0]);
             let at = body.len()..body.len();
             body += &format!(",cluster={} */ {statement}", group.0);
-            Body::new(body.into_bytes(), Some(at), Form::Result)
+            Body::new(body.into_bytes(), Some(at), AnswerForm::Result)
         } else {
-            Body::new(text, None, Form::Result)
+            Body::new(text, None, AnswerForm::Result)
         };
         let key = Some(fnv(&format!("session {}", session.0)));
         let deadline = self.deadline(arrived, wait);
         let (tenant, source) = (None, Source::Client);
         let (repeat, checked) = (false, false);
-        let call = Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body };
+        let call = IncomingRequest {
+            class,
+            group,
+            key,
+            deadline,
+            since_write,
+            repeat,
+            checked,
+            tenant,
+            source,
+            body,
+        };
         Ok(Step::Call(Box::new(call), id))
     }
 
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -9,7 +9,7 @@
 use super::eviction::{eviction_rank, RECENT, SLOW_CLIENT};
 use super::session::{Stage, CLOSE_STALL_TIMEOUT, LINGER};
 use super::Frontend;
-use crate::exchange::{Body, Call, Exchange, Final, Form};
+use crate::exchange::{AnswerForm, Body, Exchange, FinalAnswer, IncomingRequest};
 use crate::ids::SessionId;
 use crate::pg::{Writer, LONGEST_ANSWER};
 use crate::ring::LARGEST;
@@ -195,12 +195,12 @@
     /// The first request is answered at `at`, and what stands behind it gets its turns. How many of those had no time left.
     fn expired(&mut self, at: Micros) -> u64 {
         self.turn.now = at;
-        self.frontend.answer(&mut self.turn, &mut self.exchange, RequestId(0), Final::Failed(None));
+        self.frontend.answer(&mut self.turn, &mut self.exchange, RequestId(0), FinalAnswer::Failed(None));
         loop {
             if let Some((request, answer)) = self.exchange.answers.pop_front() {
                 let crate::exchange::Answer::Final(last) = answer else { panic!("a part of an answer") };
                 // No db host is known: the module refuses what has little time left, too.
-                assert!(matches!(last, Final::Refused { .. }), "{last:?}");
+                assert!(matches!(last, FinalAnswer::Refused { .. }), "{last:?}");
                 self.frontend.answer(&mut self.turn, &mut self.exchange, request, last);
             } else if self.turn.again.pop().is_some() {
                 self.frontend.ready(&mut self.turn, &mut self.exchange, self.id);
@@ -293,8 +293,8 @@
 }
 
 /// A request whose wait ends at `deadline`.
-fn call_of(deadline: Micros) -> Call {
-    Call {
+fn call_of(deadline: Micros) -> IncomingRequest {
+    IncomingRequest {
         class: leadmast::ClassId(0),
         group: GroupId(1),
         key: None,
@@ -304,7 +304,7 @@
         checked: true,
         tenant: None,
         source: gradeshunt_placement::Source::Client,
-        body: Body::new(Vec::new(), None, Form::Value),
+        body: Body::new(Vec::new(), None, AnswerForm::Value),
     }
 }
 
--- a/crates/gradeshunt/src/proxy/sites.rs
+++ b/crates/gradeshunt/src/proxy/sites.rs
@@ -9,7 +9,7 @@
 use super::Proxy;
 use crate::control::Answer;
 use crate::deadlines::Due;
-use crate::exchange::{Ask, Order};
+use crate::exchange::{BackendCommand, DiscoveryCall};
 
 impl Proxy {
     /// Looks at the sites, and again when that is due.
@@ -27,10 +27,12 @@
             match action {
                 Action::HoldOut(member) => {
                     self.core.exchange.maintain(&mut self.core.turn, member, true);
-                    self.core.exchange.orders.push_back(Order::CloseIdle(member));
+                    self.core.exchange.backend_commands.push_back(BackendCommand::CloseIdle(member));
                 }
                 Action::PutBack(member) => self.put_back(member),
-                Action::Probe(member) => self.core.exchange.orders.push_back(Order::Probe(member)),
+                Action::Probe(member) => {
+                    self.core.exchange.backend_commands.push_back(BackendCommand::Probe(member))
+                }
                 Action::Changed(site, state, why) => {
                     let name = self.core.exchange.sites.as_ref().map(|s| s.name(site).to_owned());
                     match state {
@@ -70,7 +72,7 @@
         self.carry_out_sites();
         if !watched {
             // It knows of no db host until the list comes anew.
-            self.core.exchange.asks.push_back(Ask::Fetch);
+            self.core.exchange.discovery_calls.push_back(DiscoveryCall::Fetch);
             self.watch_sites();
         }
     }
