--- a/crates/gradeshunt/src/backend/hosts.rs
+++ b/crates/gradeshunt/src/backend/hosts.rs
@@ -203,7 +203,8 @@
             if let Some((position, at)) = told {
                 let report = Report { position: Some(position), primary: Some(false), ..Report::default() };
                 let elapsed = turn.now - at;
-                exchange.probed(turn, Probed { member, ending: Ending::Ok, elapsed, report: Some(report) });
+                exchange
+                    .probe_ended(turn, Probed { member, ending: Ending::Ok, elapsed, report: Some(report) });
             }
         }
     }
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -357,7 +357,7 @@
                 let report = report.zip(host).and_then(|(row, host)| {
                     report_of(&row, &self.fields, |ms, primary| host.position(turn, ms, primary))
                 });
-                exchange.probed(turn, Probed { member, ending, elapsed: turn.now - since, report });
+                exchange.probe_ended(turn, Probed { member, ending, elapsed: turn.now - since, report });
                 self.tell_unshown(turn, exchange, member);
             }
         }
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -184,7 +184,7 @@
             if reply.error.is_some() || (reply.passed.is_none() && !reply.is_full()) {
                 return false;
             }
-            let n = reply.bytes.len().min(exchange.room(*attempt));
+            let n = reply.bytes.len().min(exchange.answer_room(*attempt));
             if n == 0 {
                 return false;
             }
@@ -193,14 +193,14 @@
             reply.held.set(reply.bytes.len());
             reply.passed = Some(turn.now);
             let note = host.and_then(|host| host.note(turn, reply));
-            exchange.part(turn, *attempt, part, note);
+            exchange.pass_on_part(turn, *attempt, part, note);
             return true;
         }
         let Shape::Passing(left) = reply.shape else { return false };
         if s.inbound.is_empty() {
             return false;
         }
-        let n = left.min(s.inbound.len()).min(exchange.room(*attempt));
+        let n = left.min(s.inbound.len()).min(exchange.answer_room(*attempt));
         if n == 0 {
             return false;
         }
@@ -212,7 +212,7 @@
         reply.passed = Some(turn.now);
         reply.shape = if n == left { Shape::Row } else { Shape::Passing(left - n) };
         let note = host.and_then(|host| host.note(turn, reply));
-        exchange.part(turn, *attempt, bytes, note);
+        exchange.pass_on_part(turn, *attempt, bytes, note);
         true
     }
 
--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -148,7 +148,7 @@
     /// Like `attempt_out`, on this pooled connection.
     fn attempt_out_on(&mut self, server: &mut TcpStream) -> AttemptId {
         let group = GroupId(0);
-        self.exchange.members(&mut self.turn, ListKind::Full, vec![entry(group, true)]);
+        self.exchange.update_members(&mut self.turn, ListKind::Full, vec![entry(group, true)]);
         self.exchange.submit(&mut self.turn, call(ClassId(0), group));
         while let Some(command) = self.exchange.backend_commands.pop_front() {
             self.backend.carry_out(&mut self.turn, &mut self.exchange, command);
--- a/crates/gradeshunt/src/backend/tests/late_connections.rs
+++ b/crates/gradeshunt/src/backend/tests/late_connections.rs
@@ -17,7 +17,7 @@
     /// The only replica of a set reports its position, and a read with a bound on the age of its data is
     /// assigned to it. The connection for the read is established this much later.
     fn read_on_a_connection_that_is_late_by(&mut self, late: Micros) {
-        self.exchange.members(&mut self.turn, ListKind::Full, vec![entry(GROUP, false)]);
+        self.exchange.update_members(&mut self.turn, ListKind::Full, vec![entry(GROUP, false)]);
         self.tell_role(false);
         let server = self.connect_for_a_read();
         self.turn.now += late;
@@ -28,7 +28,7 @@
     fn tell_role(&mut self, primary: bool) {
         let report = Report { position: Some(self.turn.now), primary: Some(primary), ..Report::default() };
         let probed = Probed { member: MEMBER, ending: Ending::Ok, elapsed: 0, report: Some(report) };
-        self.exchange.probed(&mut self.turn, probed);
+        self.exchange.probe_ended(&mut self.turn, probed);
     }
 
     /// Submits a read, for which the backend opens a connection.
@@ -80,7 +80,7 @@
 fn read_whose_db_host_is_no_primary_once_its_connection_is_up_is_not_written() {
     let mut play =
         Play::open_with(|config| config["settings"]["familyInfo"]["readLevel"][0] = "strong".into());
-    play.exchange.members(&mut play.turn, ListKind::Full, vec![entry(GROUP, true)]);
+    play.exchange.update_members(&mut play.turn, ListKind::Full, vec![entry(GROUP, true)]);
     play.tell_role(true);
     let server = play.connect_for_a_read();
     play.turn.now += BOUND;
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -106,7 +106,7 @@
     /// Works off a deadline that has fallen due; false where it is another part's.
     pub fn due(&mut self, due: Due) -> bool {
         match due {
-            Due::Module(tag) => self.exchange.timer(&mut self.turn, tag),
+            Due::Module(tag) => self.exchange.timer_due(&mut self.turn, tag),
             Due::Overdue(id) => self.exchange.overdue(&mut self.turn, id),
             Due::SendOn(id) => self.exchange.send_on_due(&mut self.turn, id),
             Due::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
@@ -147,7 +147,7 @@
         for what in &why {
             warn!(self.turn.log, "unreadable entry in the list of db hosts"; "what" => what, "of" => unreadable);
         }
-        self.exchange.members(&mut self.turn, kind, entries);
+        self.exchange.update_members(&mut self.turn, kind, entries);
         List { kind, listed }
     }
 }
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -23,7 +23,7 @@
         let at = turn.clock.now();
         let Some(r) = self.requests.get_mut(&attempt.request) else { return };
         // The client left before anything was written, so this attempt should not have been written.
-        if r.left.is_some() && !r.written {
+        if r.client_left_at.is_some() && !r.written {
             self.tally.sent_after_gone += 1;
             self.figures.sent_after_gone += 1;
         }
@@ -42,7 +42,7 @@
             at,
             told,
             deadline: r.deadline,
-            client_left: r.left,
+            client_left: r.client_left_at,
             repeat_until,
             settled_at: r.settled_at,
             others_out: r.others_out(attempt.number),
@@ -69,7 +69,7 @@
         let Some(r) = self.requests.get(&id) else { return };
         // Excluded: requests that expired while queued behind others on their connection, and long answers
         // that are being passed on.
-        let counts = reason != Some(FinalReason::Expired) && !r.begun;
+        let counts = reason != Some(FinalReason::Expired) && !r.answer_begun;
         if counts && violates_answer_time(turn.clock.now(), r.deadline) {
             self.violated(turn, Rule::AnswerInTime, None);
         }
@@ -112,7 +112,7 @@
     pub(super) fn note_reason(&mut self, turn: &Turn, id: RequestId, refused: bool, reason: FinalReason) {
         let outcome = if refused { "refused" } else { "failed" };
         *self.figures.reasons.entry((outcome, reason.name())).or_default() += 1;
-        let attempts = self.requests.get(&id).map(|r| r.sends);
+        let attempts = self.requests.get(&id).map(|r| r.attempts_begun);
         debug!(turn.log, "request not served"; "why" => reason.name(), "outcome" => outcome, "attempts" => attempts,
             "request" => id.0);
     }
--- a/crates/gradeshunt/src/exchange/client_side.rs
+++ b/crates/gradeshunt/src/exchange/client_side.rs
@@ -14,9 +14,9 @@
 
 impl Exchange {
     /// Takes a request. Every request gets exactly one final answer.
-    pub fn submit(&mut self, turn: &mut Turn, call: IncomingRequest) -> RequestId {
-        let id = RequestId(self.next);
-        self.next += 1;
+    pub fn submit(&mut self, turn: &mut Turn, incoming: IncomingRequest) -> RequestId {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
         let IncomingRequest {
             class,
             group,
@@ -28,7 +28,7 @@
             tenant,
             source,
             body,
-        } = call;
+        } = incoming;
         self.tally.requests += 1;
         // The balancer answers by the deadline. This timer answers the client should it fail to.
         turn.deadlines.set(deadline + self.answer_slack, Due::Overdue(id));
@@ -56,11 +56,12 @@
     }
 
     /// The client has disconnected.
-    pub fn gone(&mut self, turn: &mut Turn, id: RequestId) {
+    pub fn client_gone(&mut self, turn: &mut Turn, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        r.left = Some(turn.now);
-        let (written, begun, forwarded) = (r.written, r.begun, r.forward.is_some());
-        let attempt = r.out.as_ref().map(|out| AttemptId { request: id, number: out.number });
+        r.client_left_at = Some(turn.now);
+        let (written, begun, forwarded) = (r.written, r.answer_begun, r.forward.is_some());
+        let attempt =
+            r.active_attempt.as_ref().map(|active| AttemptId { request: id, number: active.number });
         if self.end(turn, id) {
             // The balancer has already had its outcome for a long answer that has begun, so that attempt is
             // abandoned here. An attempt that is not sent yet is withdrawn regardless of the `mayCancel`
@@ -75,36 +76,37 @@
             self.tally.gone += 1;
             self.tally.gone_unsent += u32::from(!written);
             self.figures.gone_unsent += u64::from(!written);
-            self.tell(turn, Event::Gone { request: id });
+            self.handle_event(turn, Event::Gone { request: id });
         }
     }
 
     /// The client has cancelled a request and waits for the confirmation. An answer that has begun is still
     /// sent to its end.
     pub fn cancel(&mut self, turn: &mut Turn, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over && !r.begun) else { return };
-        r.left = Some(turn.now);
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over && !r.answer_begun) else { return };
+        r.client_left_at = Some(turn.now);
         let forwarded = r.forward.is_some();
-        let attempt = r.out.as_ref().map(|out| AttemptId { request: id, number: out.number });
+        let attempt =
+            r.active_attempt.as_ref().map(|active| AttemptId { request: id, number: active.number });
         self.finish(turn, id, FinalAnswer::Cancelled, Some(FinalReason::Cancelled));
         self.backend_commands.extend(attempt.map(if forwarded {
             BackendCommand::Cancel
         } else {
             BackendCommand::CancelIfUnsent
         }));
-        self.tell(turn, Event::Gone { request: id });
+        self.handle_event(turn, Event::Gone { request: id });
     }
 
     /// The frontend has received `got` more bytes of a long answer, and buffers `held` bytes that its client
     /// has yet to read.
-    pub fn unread(&mut self, id: RequestId, got: usize, held: usize) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
+    pub fn update_unread(&mut self, id: RequestId, got: usize, held: usize) {
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return };
         r.queued = r.queued.saturating_sub(got);
         r.room = MAX_BUFFERED_ANSWER.saturating_sub(held + r.queued);
-        if let (Some(out), true) = (&r.out, r.stalled && r.room > 0) {
-            r.stalled = false;
+        if let (Some(active), true) = (&r.active_attempt, r.awaits_room && r.room > 0) {
+            r.awaits_room = false;
             self.backend_commands
-                .push_back(BackendCommand::Resume(AttemptId { request: id, number: out.number }));
+                .push_back(BackendCommand::Resume(AttemptId { request: id, number: active.number }));
         }
     }
 }
--- a/crates/gradeshunt/src/exchange/decisions.rs
+++ b/crates/gradeshunt/src/exchange/decisions.rs
@@ -8,7 +8,7 @@
 
 use super::endings::{ending_name, immediate_outcome};
 use super::messages::{BackendCommand, DiscoveryCall, FinalAnswer};
-use super::request::{Out, Request};
+use super::request::{ActiveAttempt, Request};
 use super::state::Exchange;
 use crate::deadlines::Due;
 use crate::ids::AttemptId;
@@ -17,23 +17,23 @@
 
 impl Exchange {
     /// An operator holds a db host out, or readmits it.
-    pub fn maintain(&mut self, turn: &mut Turn, member: MemberId, out: bool) {
-        self.tell(turn, Event::Maintenance { member, out });
+    pub fn set_held_out(&mut self, turn: &mut Turn, member: MemberId, out: bool) {
+        self.handle_event(turn, Event::Maintenance { member, out });
     }
 
     /// Discovery has sent a list, or a call for one has failed.
-    pub fn members(&mut self, turn: &mut Turn, kind: ListKind, entries: Vec<Entry>) {
+    pub fn update_members(&mut self, turn: &mut Turn, kind: ListKind, entries: Vec<Entry>) {
         self.sites.iter_mut().for_each(|s| s.list(kind, &entries));
-        self.tell(turn, Event::Members { kind, entries });
+        self.handle_event(turn, Event::Members { kind, entries });
     }
 
     /// A timer that the balancer has set is due.
-    pub fn timer(&mut self, turn: &mut Turn, tag: TimerTag) {
-        self.tell(turn, Event::Timer { tag });
+    pub fn timer_due(&mut self, turn: &mut Turn, tag: TimerTag) {
+        self.handle_event(turn, Event::Timer { tag });
     }
 
     /// Passes an event to the balancer and carries out the actions that it returns.
-    pub(super) fn tell(&mut self, turn: &mut Turn, event: Event) {
+    pub(super) fn handle_event(&mut self, turn: &mut Turn, event: Event) {
         self.events.push_back(event);
         // Carrying out an action can raise another event at once, such as an attempt that is never sent. That
         // event is queued until the balancer has returned; the outer call's loop handles it.
@@ -53,7 +53,7 @@
             self.balancer.handle(turn.now, event, &mut actions);
             for action in actions.drain(..) {
                 debug!(turn.log, "action"; "is" => ?action);
-                self.act(turn, action);
+                self.apply(turn, action);
             }
             self.actions = actions;
         }
@@ -61,23 +61,23 @@
     }
 
     /// Carries out one action of the balancer.
-    fn act(&mut self, turn: &mut Turn, action: Action) {
+    fn apply(&mut self, turn: &mut Turn, action: Action) {
         match action {
-            Action::Send { request, member, timeout } => self.send(turn, request, member, timeout),
+            Action::Send { request, member, timeout } => self.begin_attempt(turn, request, member, timeout),
             Action::Cancel { request, attempt } => {
-                let out = self.requests.get(&request).and_then(|r| r.out.as_ref());
-                if out.is_some_and(|o| o.number == attempt) {
+                let active = self.requests.get(&request).and_then(|r| r.active_attempt.as_ref());
+                if active.is_some_and(|o| o.number == attempt) {
                     self.backend_commands
                         .push_back(BackendCommand::Cancel(AttemptId { request, number: attempt }));
                 }
             }
             Action::Refuse { request, retry_after } => {
-                let reason = self.requests.get(&request).map(Request::given_up_because);
+                let reason = self.requests.get(&request).map(Request::give_up_reason);
                 self.finish(turn, request, FinalAnswer::Refused { retry_after }, reason)
             }
             Action::Fail { request } => {
-                let reason = self.requests.get(&request).map(Request::given_up_because);
-                let error = self.requests.get_mut(&request).and_then(|r| r.error.take());
+                let reason = self.requests.get(&request).map(Request::give_up_reason);
+                let error = self.requests.get_mut(&request).and_then(|r| r.last_error.take());
                 self.finish(turn, request, FinalAnswer::Failed(error), reason);
             }
             Action::Probe { member } => self.backend_commands.push_back(BackendCommand::Probe(member)),
@@ -89,18 +89,18 @@
     }
 
     /// Begins an attempt, unless the rules deny it.
-    fn send(&mut self, turn: &mut Turn, id: RequestId, member: MemberId, timeout: Micros) {
+    fn begin_attempt(&mut self, turn: &mut Turn, id: RequestId, member: MemberId, timeout: Micros) {
         let Some(r) = self.requests.get_mut(&id) else {
             let attempt = AttemptId { request: id, number: 0 };
             return self
                 .outcome(turn, Outcome { last: true, ..immediate_outcome(attempt, member, Ending::Moot) });
         };
-        let (number, facts) = (r.sends, r.facts());
-        r.sends += 1;
+        let (number, facts) = (r.attempts_begun, r.facts());
+        r.attempts_begun += 1;
         if let (0, Some(sites)) = (number, &mut self.sites) {
-            sites.sent(r.group, r.class, r.of);
+            sites.sent(r.group, r.class, r.tenant_id);
         }
-        let (last, after, attempt) = (r.over, r.ended, AttemptId { request: id, number });
+        let (last, after, attempt) = (r.is_over, r.last_ending, AttemptId { request: id, number });
         let until = r.deadline.min(turn.now + timeout);
         if let Err(denial) = may_begin(turn.now, &facts, &self.limits, None) {
             self.denied(turn, attempt, denial);
@@ -111,7 +111,7 @@
         let write_by = repeat_by(facts.effect, facts.doubt, self.limits.margin).unwrap_or(until);
         self.note_retry(after);
         let Some(r) = self.requests.get_mut(&id) else { return };
-        r.out = Some(Out { number, member, since: turn.now });
+        r.active_attempt = Some(ActiveAttempt { number, member, since: turn.now });
         self.backend_commands.push_back(BackendCommand::Start {
             attempt,
             member,
@@ -125,6 +125,6 @@
     pub(super) fn outcome(&mut self, turn: &mut Turn, outcome: Outcome) {
         *self.tally.endings.entry(ending_name(outcome.ending)).or_default() += 1;
         site_loss::see(&mut self.sites, turn.now, outcome.member, outcome.ending, outcome.elapsed);
-        self.tell(turn, Event::Outcome(outcome));
+        self.handle_event(turn, Event::Outcome(outcome));
     }
 }
--- a/crates/gradeshunt/src/exchange/final_answers.rs
+++ b/crates/gradeshunt/src/exchange/final_answers.rs
@@ -12,33 +12,33 @@
 impl Exchange {
     /// Fails a request that the balancer has not answered in time.
     pub fn overdue(&mut self, turn: &mut Turn, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|r| !r.over) {
+        if self.requests.get(&id).is_some_and(|r| !r.is_over) {
             error!(turn.log, "no final answer by the deadline; failing the request"; "request" => id.0);
             self.finish(turn, id, FinalAnswer::Failed(None), Some(FinalReason::Overdue));
-            self.tell(turn, Event::Gone { request: id });
+            self.handle_event(turn, Event::Gone { request: id });
         }
     }
 
     /// Answers all open requests because the process is shutting down: as failed where an attempt may have
     /// run, else as refused. A client that has part of an answer must see that it is incomplete.
     pub fn end_all(&mut self, turn: &mut Turn) {
-        let open: Vec<_> = self.requests.iter().filter(|(_, r)| !r.over).map(|(id, _)| *id).collect();
+        let open: Vec<_> = self.requests.iter().filter(|(_, r)| !r.is_over).map(|(id, _)| *id).collect();
         for id in open {
             let Some(r) = self.requests.get(&id) else { continue };
             let retry_after = self.retry_after(r.class);
-            let answer = match (r.begun, r.doubt_since.is_some() || r.written) {
+            let answer = match (r.answer_begun, r.outcome_unknown_since.is_some() || r.written) {
                 (true, _) => FinalAnswer::Interrupted,
                 (false, true) => FinalAnswer::Failed(None),
                 (false, false) => FinalAnswer::Refused { retry_after },
             };
             self.finish(turn, id, answer, Some(FinalReason::Leaving));
-            self.tell(turn, Event::Gone { request: id });
+            self.handle_event(turn, Event::Gone { request: id });
         }
     }
 
     /// Whether every request has its final answer.
     pub fn is_idle(&self) -> bool {
-        self.requests.values().all(|r| r.over)
+        self.requests.values().all(|r| r.is_over)
     }
 
     /// Gives a request its final answer; `reason` says why it is not served.
@@ -49,8 +49,12 @@
         answer: FinalAnswer,
         reason: Option<FinalReason>,
     ) {
-        let of = self.requests.get(&id).filter(|r| !r.over).map(|r| (r.class.0, r.tenant, r.beyond));
-        if of.is_some() {
+        let stats_key = self
+            .requests
+            .get(&id)
+            .filter(|r| !r.is_over)
+            .map(|r| (r.class.0, r.tenant_index, r.exceeds_share));
+        if stats_key.is_some() {
             self.audit_answer(turn, id, reason);
             let refused = matches!(answer, FinalAnswer::Refused { .. });
             reason.into_iter().for_each(|reason| self.note_reason(turn, id, refused, reason));
@@ -58,7 +62,7 @@
         if !self.end(turn, id) {
             return;
         }
-        let Some((class, tenant, beyond)) = of else { return };
+        let Some((class, tenant, beyond)) = stats_key else { return };
         let tenant = &mut self.figures.tenants[tenant];
         let tenant = if beyond { &mut tenant.beyond } else { &mut tenant.within };
         let finals = &mut self.tally.finals;
@@ -76,8 +80,8 @@
 
     /// Marks a request as over; returns false if it already was.
     pub(super) fn end(&mut self, turn: &mut Turn, id: RequestId) -> bool {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return false };
-        r.over = true;
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return false };
+        r.is_over = true;
         turn.deadlines.clear(r.deadline + self.answer_slack, Due::Overdue(id));
         self.forget_if_done(id);
         true
@@ -85,7 +89,7 @@
 
     /// Removes a request that is over and has no attempt out.
     pub(super) fn forget_if_done(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|r| r.over && r.out.is_none()) {
+        if self.requests.get(&id).is_some_and(|r| r.is_over && r.active_attempt.is_none()) {
             self.requests.remove(&id);
         }
     }
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -9,7 +9,7 @@
 use super::endings;
 use super::messages::{AnswerForm, BackendCommand, FinalAnswer, HostReply};
 use super::reason::FinalReason;
-use super::request::{Forward, Out};
+use super::request::{ActiveAttempt, Forward};
 use super::state::Exchange;
 use crate::deadlines::Due;
 use crate::ids::AttemptId;
@@ -59,9 +59,9 @@
 
     fn serve_here(&mut self, turn: &mut Turn, arrival: Arrival) {
         let id = arrival.request;
-        self.tell(turn, Event::Request(arrival));
+        self.handle_event(turn, Event::Request(arrival));
         let beyond = self.balancer.is_beyond(id);
-        self.requests.get_mut(&id).into_iter().for_each(|r| r.beyond = beyond);
+        self.requests.get_mut(&id).into_iter().for_each(|r| r.exceeds_share = beyond);
     }
 
     fn refuse(&mut self, turn: &mut Turn, id: RequestId) {
@@ -85,9 +85,9 @@
         let number = FIRST_FORWARD + forward.tried.len() as u32;
         debug!(turn.log, "request forwarded to a home proxy"; "request" => id.0, "member" => peer.0);
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let doubt = r.doubt_since.map(|since| Doubt { since, zone: None });
+        let doubt = r.outcome_unknown_since.map(|since| Doubt { since, zone: None });
         let write_by = repeat_by(r.effect, doubt, self.limits.margin).map_or(until, |by| by.min(until));
-        r.out = Some(Out { number, member: peer, since: turn.now });
+        r.active_attempt = Some(ActiveAttempt { number, member: peer, since: turn.now });
         r.forward = Some(Box::new(forward));
         let body = std::rc::Rc::clone(&r.body);
         let attempt = AttemptId { request: id, number };
@@ -103,7 +103,7 @@
     /// Whether a request that may have run may be sent again at `at`.
     fn may_repeat(&self, now: Micros, id: RequestId, at: Micros) -> bool {
         let Some(r) = self.requests.get(&id) else { return false };
-        let doubt = Doubt { since: r.doubt_since.unwrap_or(now), zone: None };
+        let doubt = Doubt { since: r.outcome_unknown_since.unwrap_or(now), zone: None };
         may_repeat(at, r.effect, Some(doubt), None, self.limits.margin).is_ok()
     }
 
@@ -112,24 +112,24 @@
         &mut self,
         turn: &mut Turn,
         id: RequestId,
-        out: Out,
+        active: ActiveAttempt,
         ending: Ending,
-        said: HostReply,
+        host_reply: HostReply,
     ) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(forward) = r.forward.take() else { return };
-        let (over, begun, group) = (r.over, r.begun, r.group);
+        let (over, begun, group) = (r.is_over, r.answer_begun, r.group);
         let again_at = r.settled_at.map_or(turn.now, |settled| settled.max(turn.now));
-        let leaving = matches!(said, HostReply::Leaving);
+        let leaving = matches!(host_reply, HostReply::Leaving);
         let ran = !ending.never_ran() && !leaving;
         if ran {
-            r.doubt_since.get_or_insert(out.since);
+            r.outcome_unknown_since.get_or_insert(active.since);
         }
-        self.judge_peer(turn, &out, ending, &said, group);
+        self.judge_peer(turn, &active, ending, &host_reply, group);
         if over {
             return self.forget_if_done(id);
         }
-        match said {
+        match host_reply {
             HostReply::Answer(bytes) => self.finish(turn, id, FinalAnswer::Served(bytes), None),
             _ if begun => self.finish(turn, id, FinalAnswer::Interrupted, Some(FinalReason::ValueCut)),
             HostReply::StatementError(bytes) | HostReply::Error(bytes) => {
@@ -164,7 +164,7 @@
 
     /// The close of the latest connection has settled: forwards the request, unless it is over by now.
     pub fn send_on_due(&mut self, turn: &mut Turn, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return };
         if let Some(forward) = r.forward.take() {
             self.decide(turn, id, *forward);
         }
@@ -174,13 +174,13 @@
     fn judge_peer(
         &mut self,
         turn: &mut Turn,
-        out: &Out,
+        active: &ActiveAttempt,
         ending: Ending,
-        said: &HostReply,
+        host_reply: &HostReply,
         group: leadmast::GroupId,
     ) {
         let Some(placing) = &mut self.placing else { return };
-        match (said, ending) {
+        match (host_reply, ending) {
             (
                 HostReply::Answer(_)
                 | HostReply::StatementError(_)
@@ -189,14 +189,14 @@
                 | HostReply::PossibleDuplicate,
                 _,
             ) => {
-                placing.answered(turn.now, out.member, group);
+                placing.answered(turn.now, active.member, group);
             }
             (HostReply::Nothing, Ending::Moot | Ending::Cancelled | Ending::Ok | Ending::Error) => {}
             (HostReply::Leaving, _) | (HostReply::Nothing, _) => {
-                if placing.failed(turn.now, out.member) {
-                    let name = placing.name(out.member).map(str::to_owned);
+                if placing.failed(turn.now, active.member) {
+                    let name = placing.name(active.member).map(str::to_owned);
                     warn!(turn.log, "home proxy is unavailable"; "ending" => endings::ending_name(ending), "name" => name);
-                    self.leave_peer(turn.now, out.member);
+                    self.leave_peer(turn.now, active.member);
                 }
             }
         }
@@ -207,8 +207,11 @@
     fn leave_peer(&mut self, now: Micros, peer: MemberId) {
         self.backend_commands.push_back(BackendCommand::CloseIdle(peer));
         let at_peer = self.requests.iter().filter_map(|(id, r)| {
-            let out = r.out.as_ref().filter(|out| out.member == peer && !r.begun && !r.over)?;
-            Some(AttemptId { request: *id, number: out.number })
+            let active = r
+                .active_attempt
+                .as_ref()
+                .filter(|active| active.member == peer && !r.answer_begun && !r.is_over)?;
+            Some(AttemptId { request: *id, number: active.number })
         });
         let repeatable: Vec<_> =
             at_peer.filter(|attempt| self.may_repeat(now, attempt.request, now)).collect();
--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -12,7 +12,7 @@
 use super::trace::{ConnectionEnd, EndedAttempt};
 
 /// The attempt that is out.
-pub(super) struct Out {
+pub(super) struct ActiveAttempt {
     pub(super) number: u32,
     pub(super) member: MemberId,
     pub(super) since: Micros,
@@ -34,51 +34,51 @@
     /// What a second execution would do, by the request's class.
     pub(super) effect: Effect,
     pub(super) group: GroupId,
-    pub(super) of: Option<TenantId>,
+    pub(super) tenant_id: Option<TenantId>,
     /// Index in [`Figures::tenants`](crate::figures::Figures::tenants).
-    pub(super) tenant: usize,
+    pub(super) tenant_index: usize,
     /// Whether the request exceeds its tenant's share.
-    pub(super) beyond: bool,
+    pub(super) exceeds_share: bool,
     pub(super) deadline: Micros,
     pub(super) body: Rc<Body>,
-    pub(super) sends: u32,
-    pub(super) out: Option<Out>,
+    pub(super) attempts_begun: u32,
+    pub(super) active_attempt: Option<ActiveAttempt>,
     /// Whether an attempt was written completely.
     pub(super) written: bool,
     /// When the first attempt that may have run was started.
-    pub(super) doubt_since: Option<Micros>,
+    pub(super) outcome_unknown_since: Option<Micros>,
     /// The time from which another attempt may start, where a connection of an earlier one was closed.
     pub(super) settled_at: Option<Micros>,
     /// When the client disconnected before it had its answer.
-    pub(super) left: Option<Micros>,
+    pub(super) client_left_at: Option<Micros>,
     /// How the latest attempt ended.
-    pub(super) ended: Option<Ending>,
+    pub(super) last_ending: Option<Ending>,
     /// All attempts that have ended.
     pub(super) ended_attempts: Vec<EndedAttempt>,
     /// The final answer was given, or the client has disconnected.
-    pub(super) over: bool,
-    pub(super) error: Option<Vec<u8>>,
+    pub(super) is_over: bool,
+    pub(super) last_error: Option<Vec<u8>>,
     /// Set while the request is being forwarded to other proxies.
     pub(super) forward: Option<Box<Forward>>,
     /// The first part of a long answer was passed on. From then on no other attempt may answer, and no
     /// deadline applies.
-    pub(super) begun: bool,
+    pub(super) answer_begun: bool,
     /// Bytes of the answer that the frontend can take now.
     pub(super) room: usize,
     /// Bytes of the answer that are queued for the frontend.
     pub(super) queued: usize,
     /// Whether the backend waits for more room.
-    pub(super) stalled: bool,
+    pub(super) awaits_room: bool,
 }
 
 impl Request {
-    /// A new request; `tenant` is its index among the tenants' counters.
+    /// A new request; `tenant_index` is its index among the tenants' counters.
     pub(super) fn new(
         class: ClassId,
         effect: Effect,
         group: GroupId,
-        of: Option<TenantId>,
-        tenant: usize,
+        tenant_id: Option<TenantId>,
+        tenant_index: usize,
         deadline: Micros,
         body: Body,
     ) -> Self {
@@ -86,26 +86,26 @@
             class,
             effect,
             group,
-            of,
-            tenant,
-            beyond: false,
+            tenant_id,
+            tenant_index,
+            exceeds_share: false,
             deadline,
             body: Rc::new(body),
-            sends: 0,
-            out: None,
+            attempts_begun: 0,
+            active_attempt: None,
             written: false,
-            doubt_since: None,
+            outcome_unknown_since: None,
             settled_at: None,
-            left: None,
-            ended: None,
+            client_left_at: None,
+            last_ending: None,
             ended_attempts: Vec::new(),
-            over: false,
-            error: None,
+            is_over: false,
+            last_error: None,
             forward: None,
-            begun: false,
+            answer_begun: false,
             room: MAX_BUFFERED_ANSWER,
             queued: 0,
-            stalled: false,
+            awaits_room: false,
         }
     }
 
@@ -114,11 +114,11 @@
         RequestFacts {
             effect: self.effect,
             deadline: self.deadline,
-            answered: self.over,
-            client_left: self.left.is_some(),
-            begun: self.sends,
-            out: u32::from(self.out.is_some()),
-            doubt: self.doubt_since.map(|since| Doubt { since, zone: None }),
+            answered: self.is_over,
+            client_left: self.client_left_at.is_some(),
+            begun: self.attempts_begun,
+            out: u32::from(self.active_attempt.is_some()),
+            doubt: self.outcome_unknown_since.map(|since| Doubt { since, zone: None }),
             settled_at: self.settled_at,
         }
     }
@@ -126,7 +126,7 @@
     /// Counts the request's other attempts that are out. To a db host an attempt is out for as long as its
     /// connection is open and ReadyForQuery has not been sent, even if it has ended here.
     pub(super) fn others_out(&self, number: u32) -> u32 {
-        let other = self.out.as_ref().is_some_and(|out| out.number != number);
+        let other = self.active_attempt.as_ref().is_some_and(|active| active.number != number);
         let open = |ended: &&EndedAttempt| ended.trace.connection_end == ConnectionEnd::AwaitsReady;
         u32::from(other) + self.ended_attempts.iter().filter(open).count() as u32
     }
@@ -136,12 +136,12 @@
     /// too.
     pub(super) fn may_have_run_since(&self) -> Option<Micros> {
         let in_doubt = self.ended_attempts.iter().filter(|ended| ended.may_have_run());
-        in_doubt.map(|ended| ended.since).chain(self.doubt_since).min()
+        in_doubt.map(|ended| ended.since).chain(self.outcome_unknown_since).min()
     }
 
     /// Why no db host answered the request, when the balancer gives it up.
-    pub(super) fn given_up_because(&self) -> FinalReason {
-        match (self.sends, self.doubt_since) {
+    pub(super) fn give_up_reason(&self) -> FinalReason {
+        match (self.attempts_begun, self.outcome_unknown_since) {
             (0, None) => FinalReason::NeverSent,
             (_, None) => FinalReason::NeverRan,
             (_, Some(_)) => FinalReason::MayHaveRun,
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -16,29 +16,29 @@
 impl Exchange {
     /// The number of bytes of a long answer that the frontend can take. After 0, [`BackendCommand::Resume`] follows
     /// once there is room.
-    pub fn room(&mut self, attempt: AttemptId) -> usize {
-        let Some(r) = self.requests.get_mut(&attempt.request).filter(|r| !r.over) else { return 0 };
-        r.stalled = r.room == 0;
+    pub fn answer_room(&mut self, attempt: AttemptId) -> usize {
+        let Some(r) = self.requests.get_mut(&attempt.request).filter(|r| !r.is_over) else { return 0 };
+        r.awaits_room = r.room == 0;
         r.room
     }
 
     /// Whether another attempt may follow one that ends at `at`.
     pub fn may_be_followed(&self, attempt: AttemptId, at: Micros) -> bool {
-        self.requests.get(&attempt.request).is_some_and(|r| !r.over && at < r.deadline)
+        self.requests.get(&attempt.request).is_some_and(|r| !r.is_over && at < r.deadline)
     }
 
     /// Passes on a part of a long answer. The client has begun to read it, so that no deadline ends it any
     /// more. The balancer gets the attempt's outcome with the first part: the length of a value says nothing
     /// about its db host, and a db host that is busy sending would otherwise be taken for unhealthy.
-    pub fn part(&mut self, turn: &mut Turn, attempt: AttemptId, bytes: Vec<u8>, note: Option<Note>) {
+    pub fn pass_on_part(&mut self, turn: &mut Turn, attempt: AttemptId, bytes: Vec<u8>, note: Option<Note>) {
         let id = attempt.request;
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
-        let Some(out) = r.out.as_ref().filter(|o| o.number == attempt.number) else { return };
-        let (member, elapsed) = (out.member, turn.now - out.since);
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return };
+        let Some(active) = r.active_attempt.as_ref().filter(|o| o.number == attempt.number) else { return };
+        let (member, elapsed) = (active.member, turn.now - active.since);
         r.room = r.room.saturating_sub(bytes.len());
         r.queued += bytes.len();
         self.answers.push_back((id, Answer::Part(bytes)));
-        if !std::mem::replace(&mut r.begun, true) {
+        if !std::mem::replace(&mut r.answer_begun, true) {
             turn.deadlines.clear(r.deadline + self.answer_slack, Due::Overdue(id));
             // The balancer does not know of requests that another proxy serves.
             if r.forward.is_none() {
@@ -53,26 +53,26 @@
 
     /// An attempt has ended, at a db host or at another proxy.
     pub fn ended(&mut self, turn: &mut Turn, ended: AttemptEnd) {
-        let AttemptEnd { attempt: AttemptId { request: id, number }, ending, note, reply: said, trace } =
+        let AttemptEnd { attempt: AttemptId { request: id, number }, ending, note, reply: host_reply, trace } =
             ended;
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(out) = r.out.take_if(|o| o.number == number) else { return };
+        let Some(active) = r.active_attempt.take_if(|o| o.number == number) else { return };
         // Reads the clock for the time of the close: the turn may have begun long before.
         if trace.connection_end == ConnectionEnd::Reset {
             r.settled_at = r.settled_at.max(Some(settled_at(turn.clock.now())));
         }
         let settled_at = r.settled_at;
         if r.forward.is_some() {
-            return self.forward_ended(turn, id, out, ending, said);
+            return self.forward_ended(turn, id, active, ending, host_reply);
         }
-        r.error = None;
-        r.ended = Some(ending);
-        r.ended_attempts.push(EndedAttempt { number, since: out.since, ended: turn.now, ending, trace });
+        r.last_error = None;
+        r.last_ending = Some(ending);
+        r.ended_attempts.push(EndedAttempt { number, since: active.since, ended: turn.now, ending, trace });
         if !ending.never_ran() {
-            r.doubt_since.get_or_insert(out.since);
+            r.outcome_unknown_since.get_or_insert(active.since);
         }
-        let (over, begun) = (r.over, r.begun);
-        let answer = match said {
+        let (over, begun) = (r.is_over, r.answer_begun);
+        let answer = match host_reply {
             HostReply::Answer(bytes) => Some((FinalAnswer::Served(bytes), None)),
             _ if begun => Some((FinalAnswer::Interrupted, Some(FinalReason::ValueCut))),
             HostReply::StatementError(bytes) => {
@@ -82,33 +82,33 @@
                 Some((FinalAnswer::Failed(None), Some(FinalReason::AnswerUnclear)))
             }
             HostReply::Error(bytes) => {
-                r.error = Some(bytes);
+                r.last_error = Some(bytes);
                 None
             }
             HostReply::Nothing | HostReply::Refused { .. } | HostReply::Leaving => None,
         };
         let last = over || answer.is_some();
-        let broken = matches!(answer, Some((FinalAnswer::Interrupted, _)));
+        let interrupted = matches!(answer, Some((FinalAnswer::Interrupted, _)));
         if let Some((answer, reason)) = answer {
             self.finish(turn, id, answer, reason);
         }
         self.forget_if_done(id);
         // The balancer had its outcome when the answer began.
         if begun {
-            *self.tally.endings.entry("broken").or_default() += u32::from(broken);
+            *self.tally.endings.entry("broken").or_default() += u32::from(interrupted);
             return;
         }
         // An error of the statement itself must not lower the db host's health.
         let verdict = last && ending == Ending::Error && !over;
         let ending = if verdict { Ending::Cancelled } else { ending };
-        let elapsed = turn.now - out.since;
-        let outcome = immediate_outcome(AttemptId { request: id, number }, out.member, ending);
+        let elapsed = turn.now - active.since;
+        let outcome = immediate_outcome(AttemptId { request: id, number }, active.member, ending);
         self.outcome(turn, Outcome { last, elapsed, note, settled_at, ..outcome });
     }
 
     /// A probe has ended.
-    pub fn probed(&mut self, turn: &mut Turn, probed: Probed) {
+    pub fn probe_ended(&mut self, turn: &mut Turn, probed: Probed) {
         site_loss::see(&mut self.sites, turn.now, probed.member, probed.ending, probed.elapsed);
-        self.tell(turn, Event::Probed(probed));
+        self.handle_event(turn, Event::Probed(probed));
     }
 }
--- a/crates/gradeshunt/src/exchange/summary.rs
+++ b/crates/gradeshunt/src/exchange/summary.rs
@@ -10,7 +10,7 @@
     /// The current metrics.
     pub fn figures(&self) -> Figures {
         let t = self.balancer.targets();
-        let concurrent = self.requests.values().filter(|r| !r.over).count() as u64;
+        let concurrent = self.requests.values().filter(|r| !r.is_over).count() as u64;
         Figures { concurrent, targets: t.listed as u64, avoided: t.avoided as u64, ..self.figures.clone() }
     }
 
--- a/crates/gradeshunt/src/exchange/tests.rs
+++ b/crates/gradeshunt/src/exchange/tests.rs
@@ -62,7 +62,7 @@
         let class = settings.classes.iter().position(keyed).expect("the example has no keyed class");
         settings.classes[class].effect = effect.unwrap_or(settings.classes[class].effect);
         let mut exchange = Exchange::new(settings, Vec::new(), 7, turn.now);
-        exchange.members(&mut turn, ListKind::Full, vec![entry(0), entry(1)]);
+        exchange.update_members(&mut turn, ListKind::Full, vec![entry(0), entry(1)]);
         let call = IncomingRequest {
             class: ClassId(class),
             group: GROUP,
@@ -108,7 +108,7 @@
     let ended = AttemptEnd { attempt: play.first, ending, note: None, reply: HostReply::Nothing, trace };
     play.exchange.ended(&mut play.turn, ended);
     play.turn.now += DEADLINE / 2;
-    play.exchange.timer(&mut play.turn, TimerTag(0));
+    play.exchange.timer_due(&mut play.turn, TimerTag(0));
     let repeat = AttemptId { number: play.first.number + 1, ..play.first };
     play.exchange.dispatched(&play.turn, repeat, None);
     play.exchange.figures().violations.of(Rule::Repeat)
--- a/crates/gradeshunt/src/frontend/answers.rs
+++ b/crates/gradeshunt/src/frontend/answers.rs
@@ -26,7 +26,7 @@
     /// Lets the server side go on with a long answer as far as there is room for it here.
     pub(super) fn report_unread(&self, exchange: &mut Exchange, id: SessionId, got: usize) {
         if let Some(Session { stage: Stage::Waiting(request), outbound, .. }) = self.sessions.get(&id) {
-            exchange.unread(*request, got, outbound.len());
+            exchange.update_unread(*request, got, outbound.len());
         }
     }
 
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -192,7 +192,7 @@
         self.audit_abandoned(turn, exchange, id);
         if let Some(request) = waiting {
             self.release_request(request);
-            exchange.gone(turn, request);
+            exchange.client_gone(turn, request);
         }
         self.close(turn, id);
     }
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -213,12 +213,12 @@
         self.backend.list(turn, exchange, list.kind, &list.listed);
         // The ban on a name outlasts whatever the list says of it.
         for l in list.listed.iter().filter(|l| self.shared.is_held_out(&l.id)) {
-            exchange.maintain(turn, l.member, true);
+            exchange.set_held_out(turn, l.member, true);
             self.backend.maintain(turn, exchange, l.member, true);
         }
         let lost = |l: &&backend::Listed| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
         for member in list.listed.iter().filter(lost).map(|l| l.member).collect::<Vec<_>>() {
-            exchange.maintain(turn, member, true);
+            exchange.set_held_out(turn, member, true);
         }
         if list.is_heard() && self.frontend.has_hosts {
             self.serve();
--- a/crates/gradeshunt/src/proxy/operators.rs
+++ b/crates/gradeshunt/src/proxy/operators.rs
@@ -75,7 +75,7 @@
         let Some(member) = self.core.discovery.member(id) else { return };
         // Its site may be out as well.
         let lost = self.core.exchange.sites.as_ref().is_some_and(|s| s.is_out(member));
-        self.core.exchange.maintain(&mut self.core.turn, member, out || lost);
+        self.core.exchange.set_held_out(&mut self.core.turn, member, out || lost);
         self.backend.maintain(&mut self.core.turn, &mut self.core.exchange, member, out);
     }
 }
--- a/crates/gradeshunt/src/proxy/sites.rs
+++ b/crates/gradeshunt/src/proxy/sites.rs
@@ -26,7 +26,7 @@
         for action in actions {
             match action {
                 Action::HoldOut(member) => {
-                    self.core.exchange.maintain(&mut self.core.turn, member, true);
+                    self.core.exchange.set_held_out(&mut self.core.turn, member, true);
                     self.core.exchange.backend_commands.push_back(BackendCommand::CloseIdle(member));
                 }
                 Action::PutBack(member) => self.put_back(member),
@@ -52,7 +52,7 @@
     fn put_back(&mut self, member: MemberId) {
         let by_hand = self.core.discovery.name(member).is_some_and(|id| self.shared.is_held_out(id));
         if !by_hand {
-            self.core.exchange.maintain(&mut self.core.turn, member, false);
+            self.core.exchange.set_held_out(&mut self.core.turn, member, false);
         }
     }
 
