--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -297,11 +297,11 @@
         let Job::Attempt { id: attempt, .. } = *job else { return };
         if !std::mem::replace(&mut s.sending.begun, true) {
             let closed = self.hosts.get(&s.member).and_then(|host| host.closed_since);
-            exchange.begun_at_host(turn, attempt, closed);
+            exchange.first_byte_written(turn, attempt, closed);
         }
         if is_last {
             let Sending { told, told_until, .. } = s.sending;
-            exchange.dispatched(turn, attempt, told);
+            exchange.attempt_written(turn, attempt, told);
             self.look_by(turn, attempt, told_until);
         }
     }
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -153,7 +153,7 @@
         denial: AttemptDenial,
     ) {
         if let Job::Attempt { id, .. } = &job {
-            exchange.denied(turn, *id, denial);
+            exchange.record_denial(turn, *id, denial);
         }
         self.end(turn, exchange, member, job, Ending::Moot, Reply::default());
     }
@@ -180,7 +180,7 @@
     pub(super) fn write(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId, mut job: Job) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         if matches!(s.stage, Stage::Idle { until, .. } if turn.clock.now() > until + HELD_UP) {
-            exchange.violated(turn, Rule::ExpiredConnection, None);
+            exchange.record_violation(turn, Rule::ExpiredConnection, None);
         }
         let mut sending = Sending::default();
         let begin = s.begin_request();
@@ -346,7 +346,10 @@
                     _ => HostReply::Nothing,
                 };
                 self.tell_unshown(turn, exchange, member);
-                exchange.ended(turn, AttemptEnd { attempt: id, ending, note, reply: said, trace: *trace });
+                exchange.attempt_ended(
+                    turn,
+                    AttemptEnd { attempt: id, ending, note, reply: said, trace: *trace },
+                );
             }
             Job::Probe { since, .. } => {
                 if let Some((until, _)) = self.probes.remove(&member) {
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -131,10 +131,10 @@
                 s.inbound.consume(size);
                 match marked {
                     Marked::Ended(found) => {
-                        exchange.note_answer_check(turn, s.member, found);
+                        exchange.record_answer_check(turn, s.member, found);
                         self.connection_ready(turn, exchange, id);
                     }
-                    Marked::Discarded => exchange.note_answer_check(turn, s.member, AnswerCheck::Duplicate),
+                    Marked::Discarded => exchange.record_answer_check(turn, s.member, AnswerCheck::Duplicate),
                     Marked::Taken | Marked::Other => {}
                 }
                 continue;
--- a/crates/gradeshunt/src/backend/sync_marker.rs
+++ b/crates/gradeshunt/src/backend/sync_marker.rs
@@ -279,7 +279,7 @@
     pub(super) fn marker_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         let (member, by) = (s.member, turn.now);
-        exchange.note_answer_check(turn, member, AnswerCheck::Unknown);
+        exchange.record_answer_check(turn, member, AnswerCheck::Unknown);
         let held = s.marker.as_mut().and_then(SyncMarker::give_up_held);
         if held.is_some_and(|reply| reply.error.is_some()) {
             return self.answer_copied(turn, exchange, id);
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -107,8 +107,8 @@
     pub fn due(&mut self, due: Due) -> bool {
         match due {
             Due::Module(tag) => self.exchange.timer_due(&mut self.turn, tag),
-            Due::Overdue(id) => self.exchange.overdue(&mut self.turn, id),
-            Due::SendOn(id) => self.exchange.send_on_due(&mut self.turn, id),
+            Due::Overdue(id) => self.exchange.answer_overdue(&mut self.turn, id),
+            Due::SendOn(id) => self.exchange.forward_due(&mut self.turn, id),
             Due::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
             Due::Reopen => self.discovery.reopen_due(&mut self.turn, &mut self.news),
             _ => return false,
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -16,7 +16,7 @@
 impl Exchange {
     /// Called when an attempt has been written completely. `told` is the wait time that its statement states
     /// to the db host.
-    pub fn dispatched(&mut self, turn: &Turn, attempt: AttemptId, told: Option<Micros>) {
+    pub fn attempt_written(&mut self, turn: &Turn, attempt: AttemptId, told: Option<Micros>) {
         if !attempt.is_forward() {
             self.figures.dispatches += 1;
         }
@@ -24,7 +24,7 @@
         let Some(r) = self.requests.get_mut(&attempt.request) else { return };
         // The client left before anything was written, so this attempt should not have been written.
         if r.client_left_at.is_some() && !r.written {
-            self.tally.sent_after_gone += 1;
+            self.summary_counts.sent_after_gone += 1;
             self.figures.sent_after_gone += 1;
         }
         r.written = true;
@@ -51,46 +51,46 @@
             second_copies: self.limits.second_copies,
         };
         for rule in written.violations() {
-            self.violated(turn, rule, Some(attempt));
+            self.record_violation(turn, rule, Some(attempt));
         }
-        self.trace_repeat(turn, attempt, at);
+        self.log_earlier_attempts(turn, attempt, at);
     }
 
     /// Called when the first byte of an attempt has been written. `told` is the time at which the db host was
     /// reported to accept no new requests, if it was.
-    pub fn begun_at_host(&mut self, turn: &Turn, attempt: AttemptId, told: Option<Micros>) {
+    pub fn first_byte_written(&mut self, turn: &Turn, attempt: AttemptId, told: Option<Micros>) {
         if violates_drain(turn.clock.now(), told, self.drain_grace) {
-            self.violated(turn, Rule::Drain, Some(attempt));
+            self.record_violation(turn, Rule::Drain, Some(attempt));
         }
     }
 
     /// Checks a final answer's time against the request's deadline.
-    pub(super) fn audit_answer(&mut self, turn: &Turn, id: RequestId, reason: Option<FinalReason>) {
+    pub(super) fn check_answer_time(&mut self, turn: &Turn, id: RequestId, reason: Option<FinalReason>) {
         let Some(r) = self.requests.get(&id) else { return };
         // Excluded: requests that expired while queued behind others on their connection, and long answers
         // that are being passed on.
         let counts = reason != Some(FinalReason::Expired) && !r.answer_begun;
         if counts && violates_answer_time(turn.clock.now(), r.deadline) {
-            self.violated(turn, Rule::AnswerInTime, None);
+            self.record_violation(turn, Rule::AnswerInTime, None);
         }
     }
 
     /// Counts and logs the violation of a rule. Violations indicate a fault of the proxy.
-    pub fn violated(&mut self, turn: &Turn, rule: Rule, attempt: Option<AttemptId>) {
+    pub fn record_violation(&mut self, turn: &Turn, rule: Rule, attempt: Option<AttemptId>) {
         self.figures.violations.record(rule);
         let (request, number) = (attempt.map(|a| a.request.0), attempt.map(|a| a.number));
         error!(turn.log, "a rule was violated"; "number" => number, "request" => request, "rule" => rule.name());
     }
 
     /// Counts and logs an attempt that the rules did not allow to begin or to be written.
-    pub fn denied(&mut self, turn: &Turn, attempt: AttemptId, denial: AttemptDenial) {
+    pub fn record_denial(&mut self, turn: &Turn, attempt: AttemptId, denial: AttemptDenial) {
         *self.figures.denials.entry(denial.name()).or_default() += 1;
         debug!(turn.log, "attempt denied"; "why" => denial.name(), "number" => attempt.number,
             "request" => attempt.request.0);
     }
 
     /// Counts the result of checking a possibly duplicated answer.
-    pub fn note_answer_check(&mut self, turn: &Turn, member: MemberId, found: AnswerCheck) {
+    pub fn record_answer_check(&mut self, turn: &Turn, member: MemberId, found: AnswerCheck) {
         *self.figures.answer_checks.entry(found.name()).or_default() += 1;
         match found {
             AnswerCheck::Own => {}
@@ -102,14 +102,14 @@
     }
 
     /// Counts a further attempt by the ending of the one before it, `after`.
-    pub(super) fn note_retry(&mut self, after: Option<Ending>) {
+    pub(super) fn count_retry(&mut self, after: Option<Ending>) {
         if let Some(ending) = after {
             *self.figures.retries.entry(ending_name(ending)).or_default() += 1;
         }
     }
 
     /// Counts and logs why a request is not served.
-    pub(super) fn note_reason(&mut self, turn: &Turn, id: RequestId, refused: bool, reason: FinalReason) {
+    pub(super) fn record_reason(&mut self, turn: &Turn, id: RequestId, refused: bool, reason: FinalReason) {
         let outcome = if refused { "refused" } else { "failed" };
         *self.figures.reasons.entry((outcome, reason.name())).or_default() += 1;
         let attempts = self.requests.get(&id).map(|r| r.attempts_begun);
@@ -118,7 +118,7 @@
     }
 
     /// Logs all earlier attempts of a request when another one is written.
-    pub(super) fn trace_repeat(&self, turn: &Turn, attempt: AttemptId, at: Micros) {
+    pub(super) fn log_earlier_attempts(&self, turn: &Turn, attempt: AttemptId, at: Micros) {
         let Some(r) = self.requests.get(&attempt.request) else { return };
         for earlier in &r.ended_attempts {
             let trace = &earlier.trace;
--- a/crates/gradeshunt/src/exchange/client_side.rs
+++ b/crates/gradeshunt/src/exchange/client_side.rs
@@ -29,7 +29,7 @@
             source,
             body,
         } = incoming;
-        self.tally.requests += 1;
+        self.summary_counts.requests += 1;
         // The balancer answers by the deadline. This timer answers the client should it fail to.
         turn.deadlines.set(deadline + self.answer_slack, Due::Overdue(id));
         let place = tenant.map_or(self.figures.tenants.len() - 1, |t| t.0);
@@ -40,18 +40,18 @@
         // The client's wait time ended while the request was queued: nobody would receive an attempt's
         // answer.
         if may_take(turn.now, deadline).is_err() {
-            self.tally.expired_unsent += 1;
+            self.summary_counts.expired_unsent += 1;
             self.figures.expired_unsent += 1;
-            self.finish(turn, id, refused, Some(FinalReason::Expired));
+            self.give_final_answer(turn, id, refused, Some(FinalReason::Expired));
             return id;
         }
         if self.sites.as_mut().is_some_and(|s| !s.admits(group, class, tenant)) {
-            self.finish(turn, id, refused, Some(FinalReason::SitePlan));
+            self.give_final_answer(turn, id, refused, Some(FinalReason::SitePlan));
             return id;
         }
         let arrival =
             Arrival { request: id, class, group, key, deadline, since_write, repeat, checked, tenant };
-        self.place(turn, source, arrival);
+        self.forward_or_serve(turn, source, arrival);
         id
     }
 
@@ -62,7 +62,7 @@
         let (written, begun, forwarded) = (r.written, r.answer_begun, r.forward.is_some());
         let attempt =
             r.active_attempt.as_ref().map(|active| AttemptId { request: id, number: active.number });
-        if self.end(turn, id) {
+        if self.mark_over(turn, id) {
             // The balancer has already had its outcome for a long answer that has begun, so that attempt is
             // abandoned here. An attempt that is not sent yet is withdrawn regardless of the `mayCancel`
             // setting, since nothing has reached a db host. A home proxy notices the closed connection and
@@ -73,8 +73,8 @@
             } else {
                 BackendCommand::CancelIfUnsent
             }));
-            self.tally.gone += 1;
-            self.tally.gone_unsent += u32::from(!written);
+            self.summary_counts.clients_gone += 1;
+            self.summary_counts.gone_unsent += u32::from(!written);
             self.figures.gone_unsent += u64::from(!written);
             self.handle_event(turn, Event::Gone { request: id });
         }
@@ -88,7 +88,7 @@
         let forwarded = r.forward.is_some();
         let attempt =
             r.active_attempt.as_ref().map(|active| AttemptId { request: id, number: active.number });
-        self.finish(turn, id, FinalAnswer::Cancelled, Some(FinalReason::Cancelled));
+        self.give_final_answer(turn, id, FinalAnswer::Cancelled, Some(FinalReason::Cancelled));
         self.backend_commands.extend(attempt.map(if forwarded {
             BackendCommand::Cancel
         } else {
--- a/crates/gradeshunt/src/exchange/decisions.rs
+++ b/crates/gradeshunt/src/exchange/decisions.rs
@@ -73,12 +73,12 @@
             }
             Action::Refuse { request, retry_after } => {
                 let reason = self.requests.get(&request).map(Request::give_up_reason);
-                self.finish(turn, request, FinalAnswer::Refused { retry_after }, reason)
+                self.give_final_answer(turn, request, FinalAnswer::Refused { retry_after }, reason)
             }
             Action::Fail { request } => {
                 let reason = self.requests.get(&request).map(Request::give_up_reason);
                 let error = self.requests.get_mut(&request).and_then(|r| r.last_error.take());
-                self.finish(turn, request, FinalAnswer::Failed(error), reason);
+                self.give_final_answer(turn, request, FinalAnswer::Failed(error), reason);
             }
             Action::Probe { member } => self.backend_commands.push_back(BackendCommand::Probe(member)),
             Action::Close { member } => self.backend_commands.push_back(BackendCommand::CloseIdle(member)),
@@ -92,8 +92,10 @@
     fn begin_attempt(&mut self, turn: &mut Turn, id: RequestId, member: MemberId, timeout: Micros) {
         let Some(r) = self.requests.get_mut(&id) else {
             let attempt = AttemptId { request: id, number: 0 };
-            return self
-                .outcome(turn, Outcome { last: true, ..immediate_outcome(attempt, member, Ending::Moot) });
+            return self.report_outcome(
+                turn,
+                Outcome { last: true, ..immediate_outcome(attempt, member, Ending::Moot) },
+            );
         };
         let (number, facts) = (r.attempts_begun, r.facts());
         r.attempts_begun += 1;
@@ -103,15 +105,16 @@
         let (last, after, attempt) = (r.is_over, r.last_ending, AttemptId { request: id, number });
         let until = r.deadline.min(turn.now + timeout);
         if let Err(denial) = may_begin(turn.now, &facts, &self.limits, None) {
-            self.denied(turn, attempt, denial);
-            return self.outcome(turn, Outcome { last, ..immediate_outcome(attempt, member, Ending::Moot) });
+            self.record_denial(turn, attempt, denial);
+            return self
+                .report_outcome(turn, Outcome { last, ..immediate_outcome(attempt, member, Ending::Moot) });
         }
         // Db hosts recognize a repeat only within its window, counted from the first send. A connection that
         // comes up late must not carry it past that.
         let write_by = repeat_by(facts.effect, facts.doubt, self.limits.margin).unwrap_or(until);
-        self.note_retry(after);
+        self.count_retry(after);
         let Some(r) = self.requests.get_mut(&id) else { return };
-        r.active_attempt = Some(ActiveAttempt { number, member, since: turn.now });
+        r.active_attempt = Some(ActiveAttempt { number, member, begun_at: turn.now });
         self.backend_commands.push_back(BackendCommand::Start {
             attempt,
             member,
@@ -122,8 +125,8 @@
     }
 
     /// Reports the outcome of an attempt to the balancer.
-    pub(super) fn outcome(&mut self, turn: &mut Turn, outcome: Outcome) {
-        *self.tally.endings.entry(ending_name(outcome.ending)).or_default() += 1;
+    pub(super) fn report_outcome(&mut self, turn: &mut Turn, outcome: Outcome) {
+        *self.summary_counts.endings.entry(ending_name(outcome.ending)).or_default() += 1;
         site_loss::see(&mut self.sites, turn.now, outcome.member, outcome.ending, outcome.elapsed);
         self.handle_event(turn, Event::Outcome(outcome));
     }
--- a/crates/gradeshunt/src/exchange/final_answers.rs
+++ b/crates/gradeshunt/src/exchange/final_answers.rs
@@ -11,17 +11,17 @@
 
 impl Exchange {
     /// Fails a request that the balancer has not answered in time.
-    pub fn overdue(&mut self, turn: &mut Turn, id: RequestId) {
+    pub fn answer_overdue(&mut self, turn: &mut Turn, id: RequestId) {
         if self.requests.get(&id).is_some_and(|r| !r.is_over) {
             error!(turn.log, "no final answer by the deadline; failing the request"; "request" => id.0);
-            self.finish(turn, id, FinalAnswer::Failed(None), Some(FinalReason::Overdue));
+            self.give_final_answer(turn, id, FinalAnswer::Failed(None), Some(FinalReason::Overdue));
             self.handle_event(turn, Event::Gone { request: id });
         }
     }
 
     /// Answers all open requests because the process is shutting down: as failed where an attempt may have
     /// run, else as refused. A client that has part of an answer must see that it is incomplete.
-    pub fn end_all(&mut self, turn: &mut Turn) {
+    pub fn answer_all_at_shutdown(&mut self, turn: &mut Turn) {
         let open: Vec<_> = self.requests.iter().filter(|(_, r)| !r.is_over).map(|(id, _)| *id).collect();
         for id in open {
             let Some(r) = self.requests.get(&id) else { continue };
@@ -31,7 +31,7 @@
                 (false, true) => FinalAnswer::Failed(None),
                 (false, false) => FinalAnswer::Refused { retry_after },
             };
-            self.finish(turn, id, answer, Some(FinalReason::Leaving));
+            self.give_final_answer(turn, id, answer, Some(FinalReason::Leaving));
             self.handle_event(turn, Event::Gone { request: id });
         }
     }
@@ -42,7 +42,7 @@
     }
 
     /// Gives a request its final answer; `reason` says why it is not served.
-    pub(super) fn finish(
+    pub(super) fn give_final_answer(
         &mut self,
         turn: &mut Turn,
         id: RequestId,
@@ -55,17 +55,17 @@
             .filter(|r| !r.is_over)
             .map(|r| (r.class.0, r.tenant_index, r.exceeds_share));
         if stats_key.is_some() {
-            self.audit_answer(turn, id, reason);
+            self.check_answer_time(turn, id, reason);
             let refused = matches!(answer, FinalAnswer::Refused { .. });
-            reason.into_iter().for_each(|reason| self.note_reason(turn, id, refused, reason));
+            reason.into_iter().for_each(|reason| self.record_reason(turn, id, refused, reason));
         }
-        if !self.end(turn, id) {
+        if !self.mark_over(turn, id) {
             return;
         }
         let Some((class, tenant, beyond)) = stats_key else { return };
         let tenant = &mut self.figures.tenants[tenant];
         let tenant = if beyond { &mut tenant.beyond } else { &mut tenant.within };
-        let finals = &mut self.tally.finals;
+        let finals = &mut self.summary_counts.final_answers;
         for count in [Some(finals), Some(tenant), self.figures.classes.get_mut(class)].into_iter().flatten() {
             match &answer {
                 FinalAnswer::Served(_) => count.served += 1,
@@ -79,16 +79,16 @@
     }
 
     /// Marks a request as over; returns false if it already was.
-    pub(super) fn end(&mut self, turn: &mut Turn, id: RequestId) -> bool {
+    pub(super) fn mark_over(&mut self, turn: &mut Turn, id: RequestId) -> bool {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return false };
         r.is_over = true;
         turn.deadlines.clear(r.deadline + self.answer_slack, Due::Overdue(id));
-        self.forget_if_done(id);
+        self.remove_if_done(id);
         true
     }
 
     /// Removes a request that is over and has no attempt out.
-    pub(super) fn forget_if_done(&mut self, id: RequestId) {
+    pub(super) fn remove_if_done(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|r| r.is_over && r.active_attempt.is_none()) {
             self.requests.remove(&id);
         }
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -29,7 +29,7 @@
 impl Exchange {
     /// Forwards a request, or serves it here. A request that came from another proxy is always served here,
     /// so that requests cannot circulate among proxies.
-    pub(super) fn place(&mut self, turn: &mut Turn, source: Source, arrival: Arrival) {
+    pub(super) fn forward_or_serve(&mut self, turn: &mut Turn, source: Source, arrival: Arrival) {
         let id = arrival.request;
         // Another proxy can stand in for a db host only for requests that state their wait time and return
         // one value.
@@ -45,14 +45,14 @@
             return self.serve_here(turn, arrival);
         }
         let bucket = placing::bucket(arrival.group, arrival.key, id.0);
-        self.decide(turn, id, Forward { arrival, bucket, tried: Vec::new() });
+        self.choose_proxy(turn, id, Forward { arrival, bucket, tried: Vec::new() });
     }
 
-    fn decide(&mut self, turn: &mut Turn, id: RequestId, forward: Forward) {
+    fn choose_proxy(&mut self, turn: &mut Turn, id: RequestId, forward: Forward) {
         let Some(placing) = &mut self.placing else { return self.serve_here(turn, forward.arrival) };
         match placing.decide(turn.now, forward.arrival.group, forward.bucket, &forward.tried) {
             Decision::Here => self.serve_here(turn, forward.arrival),
-            Decision::SendOn(peer) => self.send_on(turn, id, peer, forward),
+            Decision::SendOn(peer) => self.forward_to(turn, id, peer, forward),
             Decision::Refuse => self.refuse(turn, id),
         }
     }
@@ -66,10 +66,10 @@
 
     fn refuse(&mut self, turn: &mut Turn, id: RequestId) {
         let retry_after = self.requests.get(&id).and_then(|r| self.retry_after(r.class));
-        self.finish(turn, id, FinalAnswer::Refused { retry_after }, Some(FinalReason::NoHome));
+        self.give_final_answer(turn, id, FinalAnswer::Refused { retry_after }, Some(FinalReason::NoHome));
     }
 
-    fn send_on(&mut self, turn: &mut Turn, id: RequestId, peer: MemberId, mut forward: Forward) {
+    fn forward_to(&mut self, turn: &mut Turn, id: RequestId, peer: MemberId, mut forward: Forward) {
         let Some(r) = self.requests.get(&id) else { return };
         // Leaves time for the home's answer to reach this proxy.
         let last = r.deadline - self.forward_time;
@@ -87,7 +87,7 @@
         let Some(r) = self.requests.get_mut(&id) else { return };
         let doubt = r.outcome_unknown_since.map(|since| Doubt { since, zone: None });
         let write_by = repeat_by(r.effect, doubt, self.limits.margin).map_or(until, |by| by.min(until));
-        r.active_attempt = Some(ActiveAttempt { number, member: peer, since: turn.now });
+        r.active_attempt = Some(ActiveAttempt { number, member: peer, begun_at: turn.now });
         r.forward = Some(Box::new(forward));
         let body = std::rc::Rc::clone(&r.body);
         let attempt = AttemptId { request: id, number };
@@ -123,39 +123,47 @@
         let leaving = matches!(host_reply, HostReply::Leaving);
         let ran = !ending.never_ran() && !leaving;
         if ran {
-            r.outcome_unknown_since.get_or_insert(active.since);
+            r.outcome_unknown_since.get_or_insert(active.begun_at);
         }
-        self.judge_peer(turn, &active, ending, &host_reply, group);
+        self.record_forward_end(turn, &active, ending, &host_reply, group);
         if over {
-            return self.forget_if_done(id);
+            return self.remove_if_done(id);
         }
         match host_reply {
-            HostReply::Answer(bytes) => self.finish(turn, id, FinalAnswer::Served(bytes), None),
-            _ if begun => self.finish(turn, id, FinalAnswer::Interrupted, Some(FinalReason::ValueCut)),
-            HostReply::StatementError(bytes) | HostReply::Error(bytes) => {
-                self.finish(turn, id, FinalAnswer::Failed(Some(bytes)), Some(FinalReason::MayHaveRun))
+            HostReply::Answer(bytes) => self.give_final_answer(turn, id, FinalAnswer::Served(bytes), None),
+            _ if begun => {
+                self.give_final_answer(turn, id, FinalAnswer::Interrupted, Some(FinalReason::ValueCut))
             }
+            HostReply::StatementError(bytes) | HostReply::Error(bytes) => self.give_final_answer(
+                turn,
+                id,
+                FinalAnswer::Failed(Some(bytes)),
+                Some(FinalReason::MayHaveRun),
+            ),
             HostReply::PossibleDuplicate => {
-                self.finish(turn, id, FinalAnswer::Failed(None), Some(FinalReason::AnswerUnclear))
-            }
-            HostReply::Refused { retry_after } => {
-                self.finish(turn, id, FinalAnswer::Refused { retry_after }, Some(FinalReason::HomeRefused))
+                self.give_final_answer(turn, id, FinalAnswer::Failed(None), Some(FinalReason::AnswerUnclear))
             }
+            HostReply::Refused { retry_after } => self.give_final_answer(
+                turn,
+                id,
+                FinalAnswer::Refused { retry_after },
+                Some(FinalReason::HomeRefused),
+            ),
             HostReply::Nothing | HostReply::Leaving if !ran || self.may_repeat(turn.now, id, again_at) => {
-                self.send_on_at(turn, id, *forward, again_at);
+                self.forward_at(turn, id, *forward, again_at);
             }
             HostReply::Nothing | HostReply::Leaving => {
-                self.finish(turn, id, FinalAnswer::Failed(None), Some(FinalReason::MayHaveRun))
+                self.give_final_answer(turn, id, FinalAnswer::Failed(None), Some(FinalReason::MayHaveRun))
             }
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
     /// Forwards a request to another proxy, or serves it here, once the close of its latest connection has
     /// settled.
-    fn send_on_at(&mut self, turn: &mut Turn, id: RequestId, forward: Forward, at: Micros) {
+    fn forward_at(&mut self, turn: &mut Turn, id: RequestId, forward: Forward, at: Micros) {
         if at <= turn.now {
-            return self.decide(turn, id, forward);
+            return self.choose_proxy(turn, id, forward);
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.forward = Some(Box::new(forward));
@@ -163,15 +171,15 @@
     }
 
     /// The close of the latest connection has settled: forwards the request, unless it is over by now.
-    pub fn send_on_due(&mut self, turn: &mut Turn, id: RequestId) {
+    pub fn forward_due(&mut self, turn: &mut Turn, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return };
         if let Some(forward) = r.forward.take() {
-            self.decide(turn, id, *forward);
+            self.choose_proxy(turn, id, *forward);
         }
     }
 
     /// Updates the state of a proxy by how a forward to it ended.
-    fn judge_peer(
+    fn record_forward_end(
         &mut self,
         turn: &mut Turn,
         active: &ActiveAttempt,
@@ -196,7 +204,7 @@
                 if placing.failed(turn.now, active.member) {
                     let name = placing.name(active.member).map(str::to_owned);
                     warn!(turn.log, "home proxy is unavailable"; "ending" => endings::ending_name(ending), "name" => name);
-                    self.leave_peer(turn.now, active.member);
+                    self.abandon_peer(turn.now, active.member);
                 }
             }
         }
@@ -204,7 +212,7 @@
 
     /// Abandons the forwards at an unresponsive proxy that may be repeated, and closes the idle connections
     /// to it: the next request needs a new one.
-    fn leave_peer(&mut self, now: Micros, peer: MemberId) {
+    fn abandon_peer(&mut self, now: Micros, peer: MemberId) {
         self.backend_commands.push_back(BackendCommand::CloseIdle(peer));
         let at_peer = self.requests.iter().filter_map(|(id, r)| {
             let active = r
--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -15,7 +15,7 @@
 pub(super) struct ActiveAttempt {
     pub(super) number: u32,
     pub(super) member: MemberId,
-    pub(super) since: Micros,
+    pub(super) begun_at: Micros,
 }
 
 /// A request that is being forwarded to other proxies.
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -34,7 +34,7 @@
         let id = attempt.request;
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return };
         let Some(active) = r.active_attempt.as_ref().filter(|o| o.number == attempt.number) else { return };
-        let (member, elapsed) = (active.member, turn.now - active.since);
+        let (member, elapsed) = (active.member, turn.now - active.begun_at);
         r.room = r.room.saturating_sub(bytes.len());
         r.queued += bytes.len();
         self.answers.push_back((id, Answer::Part(bytes)));
@@ -43,7 +43,7 @@
             // The balancer does not know of requests that another proxy serves.
             if r.forward.is_none() {
                 let last = true;
-                self.outcome(
+                self.report_outcome(
                     turn,
                     Outcome { last, elapsed, note, ..immediate_outcome(attempt, member, Ending::Ok) },
                 );
@@ -52,9 +52,9 @@
     }
 
     /// An attempt has ended, at a db host or at another proxy.
-    pub fn ended(&mut self, turn: &mut Turn, ended: AttemptEnd) {
+    pub fn attempt_ended(&mut self, turn: &mut Turn, end: AttemptEnd) {
         let AttemptEnd { attempt: AttemptId { request: id, number }, ending, note, reply: host_reply, trace } =
-            ended;
+            end;
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(active) = r.active_attempt.take_if(|o| o.number == number) else { return };
         // Reads the clock for the time of the close: the turn may have begun long before.
@@ -67,9 +67,15 @@
         }
         r.last_error = None;
         r.last_ending = Some(ending);
-        r.ended_attempts.push(EndedAttempt { number, since: active.since, ended: turn.now, ending, trace });
+        r.ended_attempts.push(EndedAttempt {
+            number,
+            since: active.begun_at,
+            ended: turn.now,
+            ending,
+            trace,
+        });
         if !ending.never_ran() {
-            r.outcome_unknown_since.get_or_insert(active.since);
+            r.outcome_unknown_since.get_or_insert(active.begun_at);
         }
         let (over, begun) = (r.is_over, r.answer_begun);
         let answer = match host_reply {
@@ -90,20 +96,20 @@
         let last = over || answer.is_some();
         let interrupted = matches!(answer, Some((FinalAnswer::Interrupted, _)));
         if let Some((answer, reason)) = answer {
-            self.finish(turn, id, answer, reason);
+            self.give_final_answer(turn, id, answer, reason);
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
         // The balancer had its outcome when the answer began.
         if begun {
-            *self.tally.endings.entry("broken").or_default() += u32::from(interrupted);
+            *self.summary_counts.endings.entry("broken").or_default() += u32::from(interrupted);
             return;
         }
         // An error of the statement itself must not lower the db host's health.
         let verdict = last && ending == Ending::Error && !over;
         let ending = if verdict { Ending::Cancelled } else { ending };
-        let elapsed = turn.now - active.since;
+        let elapsed = turn.now - active.begun_at;
         let outcome = immediate_outcome(AttemptId { request: id, number }, active.member, ending);
-        self.outcome(turn, Outcome { last, elapsed, note, settled_at, ..outcome });
+        self.report_outcome(turn, Outcome { last, elapsed, note, settled_at, ..outcome });
     }
 
     /// A probe has ended.
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -9,7 +9,7 @@
 
 use super::messages::{Answer, BackendCommand, DiscoveryCall};
 use super::request::Request;
-use super::tally::Tally;
+use super::tally::SummaryCounts;
 use crate::figures::{Count, Figures, TenantCount};
 use crate::placing::Placing;
 use crate::site_loss;
@@ -25,7 +25,7 @@
     pub(super) events: VecDeque<Event>,
     pub(super) is_handling_event: bool,
     pub(super) actions: Vec<Action>,
-    pub(super) tally: Tally,
+    pub(super) summary_counts: SummaryCounts,
     pub(super) figures: Figures,
     /// Names of the tenants, in the order of [`Figures::tenants`]; empty where the settings name none.
     pub(super) tenants: Vec<String>,
@@ -76,7 +76,7 @@
             events: VecDeque::new(),
             is_handling_event: false,
             actions: Vec::new(),
-            tally: Tally::default(),
+            summary_counts: SummaryCounts::default(),
             backend_commands: VecDeque::new(),
             discovery_calls: VecDeque::new(),
             answers: VecDeque::new(),
--- a/crates/gradeshunt/src/exchange/summary.rs
+++ b/crates/gradeshunt/src/exchange/summary.rs
@@ -15,13 +15,13 @@
     }
 
     /// Logs a summary of the time since the last one.
-    pub fn sum_up(&mut self, turn: &Turn) {
-        let t = std::mem::take(&mut self.tally);
+    pub fn log_summary(&mut self, turn: &Turn) {
+        let t = std::mem::take(&mut self.summary_counts);
         let endings: Vec<_> = t.endings.iter().map(|(name, n)| format!("{name}={n}")).collect();
         info!(turn.log, "summary"; "open" => self.requests.len(), "members" => self.balancer.targets().known,
             "requests" => t.requests,
-            "served" => t.finals.served, "refused" => t.finals.refused, "failed" => t.finals.failed,
-            "gone" => t.gone,
+            "served" => t.final_answers.served, "refused" => t.final_answers.refused, "failed" => t.final_answers.failed,
+            "gone" => t.clients_gone,
             "gone_unsent" => t.gone_unsent, "sent_after_gone" => t.sent_after_gone,
             "expired_unsent" => t.expired_unsent,
             "attempts" => endings.join(","));
--- a/crates/gradeshunt/src/exchange/tally.rs
+++ b/crates/gradeshunt/src/exchange/tally.rs
@@ -6,10 +6,10 @@
 
 /// Counts since the last summary in the log.
 #[derive(Default)]
-pub(super) struct Tally {
+pub(super) struct SummaryCounts {
     pub(super) requests: u32,
-    pub(super) finals: Count,
-    pub(super) gone: u32,
+    pub(super) final_answers: Count,
+    pub(super) clients_gone: u32,
     pub(super) gone_unsent: u32,
     pub(super) sent_after_gone: u32,
     /// Requests whose client's wait time ended while they were queued.
--- a/crates/gradeshunt/src/exchange/tests.rs
+++ b/crates/gradeshunt/src/exchange/tests.rs
@@ -37,7 +37,7 @@
 impl Exchange {
     /// The number of attempts that have ended, by ending.
     pub(crate) fn endings(&self) -> Vec<(&'static str, u32)> {
-        self.tally.endings.iter().map(|(name, count)| (*name, *count)).collect()
+        self.summary_counts.endings.iter().map(|(name, count)| (*name, *count)).collect()
     }
 }
 
@@ -83,7 +83,7 @@
     /// Writes the first attempt, ends it with an error and `connection_end`, and writes the next one. Returns
     /// the counted violations of the rule that only one attempt is out.
     fn repeat_behind(&mut self, connection_end: ConnectionEnd) -> u64 {
-        self.exchange.dispatched(&self.turn, self.first, None);
+        self.exchange.attempt_written(&self.turn, self.first, None);
         let trace = AttemptTrace { connection_end, ..AttemptTrace::default() };
         let ended = AttemptEnd {
             attempt: self.first,
@@ -92,9 +92,9 @@
             reply: HostReply::Nothing,
             trace,
         };
-        self.exchange.ended(&mut self.turn, ended);
+        self.exchange.attempt_ended(&mut self.turn, ended);
         let repeat = next_start(&mut self.exchange).expect("no further attempt was started");
-        self.exchange.dispatched(&self.turn, repeat, None);
+        self.exchange.attempt_written(&self.turn, repeat, None);
         self.exchange.figures().violations.of(Rule::OneAttempt)
     }
 }
@@ -106,11 +106,11 @@
     let written = is_written.then_some(play.turn.now);
     let trace = AttemptTrace { written, ..AttemptTrace::default() };
     let ended = AttemptEnd { attempt: play.first, ending, note: None, reply: HostReply::Nothing, trace };
-    play.exchange.ended(&mut play.turn, ended);
+    play.exchange.attempt_ended(&mut play.turn, ended);
     play.turn.now += DEADLINE / 2;
     play.exchange.timer_due(&mut play.turn, TimerTag(0));
     let repeat = AttemptId { number: play.first.number + 1, ..play.first };
-    play.exchange.dispatched(&play.turn, repeat, None);
+    play.exchange.attempt_written(&play.turn, repeat, None);
     play.exchange.figures().violations.of(Rule::Repeat)
 }
 
--- a/crates/gradeshunt/src/frontend/answers.rs
+++ b/crates/gradeshunt/src/frontend/answers.rs
@@ -71,7 +71,7 @@
         if !fits {
             // The client has not read its earlier answers; nothing whole can follow them. The assertion at the ring's limits says
             // that this can't be.
-            exchange.violated(turn, Rule::ClosedUnanswered, None);
+            exchange.record_violation(turn, Rule::ClosedUnanswered, None);
             return self.close(turn, id);
         }
         // Before anything else is read: a client that takes its leave right behind its request gets its answer.
--- a/crates/gradeshunt/src/frontend/closing.rs
+++ b/crates/gradeshunt/src/frontend/closing.rs
@@ -97,7 +97,7 @@
         let abandoned =
             self.sessions.get(&id).is_some_and(|s| matches!(s.stage, Stage::Waiting(_)) && !s.ended);
         if abandoned {
-            exchange.violated(turn, Rule::ClosedUnanswered, None);
+            exchange.record_violation(turn, Rule::ClosedUnanswered, None);
         }
     }
 }
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -289,12 +289,12 @@
             Due::Serve => turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, Due::Serve),
             Due::Sites => self.watch_sites(),
             Due::Summary => {
-                exchange.sum_up(turn);
+                exchange.log_summary(turn);
                 self.frontend.log_summary(turn);
                 self.core.loop_stats.log_summary(&turn.log);
                 turn.deadlines.set(turn.now + SUMMARY, Due::Summary);
             }
-            Due::LastAnswers => exchange.end_all(turn),
+            Due::LastAnswers => exchange.answer_all_at_shutdown(turn),
             Due::Leave => self.leave = true,
         }
         self.settle();
