--- a/crates/gradeshunt/src/backend.rs
+++ b/crates/gradeshunt/src/backend.rs
@@ -20,10 +20,10 @@
 use leadmast::settings::{Connections, Names};
 use leadmast::{Ending, MemberId, Micros};
 
-use self::connection::{Server, Stage};
+use self::connection::{HostConnection, Stage};
 use self::hosts::Host;
 pub use self::hosts::Listed;
-use self::jobs::{Job, Place};
+use self::jobs::{Job, JobPlace};
 use crate::deadlines::Due;
 use crate::exchange::{AttemptId, BackendCommand, Exchange};
 use crate::ids::ServerId;
@@ -35,45 +35,45 @@
 
 /// Runs attempts and probes on connections to db hosts and, for forwarded requests, to other proxies.
 pub struct Backend {
-    connections: Connections,
+    connection_settings: Connections,
     fields: Vec<String>,
-    most: usize,
+    max_connections: usize,
     /// The name by which the other proxies of the group know this one.
     own_name: String,
     hosts: BTreeMap<MemberId, Host>,
-    servers: BTreeMap<ServerId, Server>,
-    attempts: BTreeMap<AttemptId, (Micros, Place)>,
-    probes: BTreeMap<MemberId, (Micros, Place)>,
+    servers: BTreeMap<ServerId, HostConnection>,
+    attempts: BTreeMap<AttemptId, (Micros, JobPlace)>,
+    probes: BTreeMap<MemberId, (Micros, JobPlace)>,
     /// Db hosts that reported a position before primaries had shown the offset between the clocks.
-    unshown: Vec<MemberId>,
-    next: u64,
+    unverified_positions: Vec<MemberId>,
+    next_connection: u64,
 }
 
 impl Backend {
     pub fn new(connections: Connections, names: &Names) -> Self {
         Backend {
-            connections,
+            connection_settings: connections,
             fields: names.fields.clone(),
-            most: 0,
+            max_connections: 0,
             own_name: String::new(),
             hosts: BTreeMap::new(),
             servers: BTreeMap::new(),
             attempts: BTreeMap::new(),
             probes: BTreeMap::new(),
-            unshown: Vec::new(),
-            next: 0,
+            unverified_positions: Vec::new(),
+            next_connection: 0,
         }
     }
 
     /// Sets the maximum number of connections, and closes idle ones above it.
-    pub fn limit(&mut self, turn: &mut Turn, most: usize) {
-        self.most = most;
+    pub fn set_max_connections(&mut self, turn: &mut Turn, most: usize) {
+        self.max_connections = most;
         while self.servers.len() > most && self.close_oldest_idle(turn) {}
     }
 
     // ---- Orders ----
 
-    pub fn carry_out(&mut self, turn: &mut Turn, exchange: &mut Exchange, command: BackendCommand) {
+    pub fn execute(&mut self, turn: &mut Turn, exchange: &mut Exchange, command: BackendCommand) {
         match command {
             BackendCommand::Start { attempt, member, body, until, write_by } => {
                 let write_by = write_by.min(until);
@@ -85,15 +85,15 @@
                     write_by,
                     trace: Box::default(),
                 };
-                self.begin(turn, exchange, member, job);
+                self.begin_job(turn, exchange, member, job);
             }
             // One probe at a time per db host: the one that is out answers this command too.
             BackendCommand::Probe(member) if self.probes.contains_key(&member) => {}
             BackendCommand::Probe(member) => {
-                self.begin(turn, exchange, member, Job::Probe { since: turn.now, written: None });
+                self.begin_job(turn, exchange, member, Job::Probe { since: turn.now, written: None });
             }
             BackendCommand::Resume(id) => {
-                if let Some((_, Place::On(server))) = self.attempts.get(&id).copied() {
+                if let Some((_, JobPlace::On(server))) = self.attempts.get(&id).copied() {
                     match self.read(turn, exchange, server) {
                         Ok(()) => self.ready(turn, exchange, server),
                         Err(Malformed(what)) => self.answer_malformed(turn, exchange, server, what),
@@ -115,7 +115,7 @@
     /// The time limit of an attempt has passed.
     pub fn attempt_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: AttemptId) {
         // A long answer that has begun is read for as long as it makes progress.
-        if let Some((until, Place::On(server))) = self.attempts.get_mut(&id) {
+        if let Some((until, JobPlace::On(server))) = self.attempts.get_mut(&id) {
             let passed = self.servers.get(server).and_then(|s| match &s.stage {
                 Stage::Busy { reply, .. } => reply.passed,
                 _ => None,
@@ -125,7 +125,7 @@
                 return turn.deadlines.set(at, Due::Attempt(id));
             }
         }
-        if let (Some(until), Some(attempt)) = (self.goes_on_until(turn.now, id), self.attempts.get_mut(&id)) {
+        if let (Some(until), Some(attempt)) = (self.awaited_until(turn.now, id), self.attempts.get_mut(&id)) {
             attempt.0 = until;
             return turn.deadlines.set(until, Due::Attempt(id));
         }
@@ -152,8 +152,8 @@
             Some(Stage::Busy { .. }) if self.is_marker_due(turn.now, id) => {
                 self.marker_due(turn, exchange, id)
             }
-            Some(Stage::Trailing { by }) if *by <= turn.now => self.close(turn, id),
-            Some(Stage::Ending { by, .. }) if *by <= turn.now => self.finish_ending(turn, exchange, id),
+            Some(Stage::AwaitsReady { by }) if *by <= turn.now => self.close(turn, id),
+            Some(Stage::AwaitsClose { by, .. }) if *by <= turn.now => self.finish_ending(turn, exchange, id),
             _ => {}
         }
     }
--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -7,7 +7,7 @@
 use leadmast::permission::AttemptDenial;
 use leadmast::{Ending, MemberId, Micros};
 
-use super::ending::GivenUp;
+use super::ending::AbandonedAttempt;
 use super::jobs::Job;
 use super::reply::{Reply, Shape};
 use super::sync_marker::SyncMarker;
@@ -53,38 +53,38 @@
     },
     /// Its attempt was given up and the sending direction is shut down. The attempt counts as out until the
     /// db host has closed the connection too.
-    Ending {
-        given_up: GivenUp,
+    AwaitsClose {
+        given_up: AbandonedAttempt,
         by: Micros,
     },
     /// Its job was taken, and it is about to be reset, so that the kernel does not deliver the rest of the
     /// request.
-    Spent,
+    Resetting,
     /// Its job has ended with a complete answer, and ReadyForQuery is still to come.
-    Trailing {
+    AwaitsReady {
         by: Micros,
     },
 }
 
 /// How far a busy connection's request has been written.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Sending {
+pub(super) struct WriteProgress {
     /// The wait time that the statement states to the db host, rounded as it is written.
-    pub(super) told: Option<Micros>,
+    pub(super) stated_wait: Option<Micros>,
     /// The time until which the stated wait time is accurate enough.
-    pub(super) told_until: Option<Micros>,
+    pub(super) wait_accurate_until: Option<Micros>,
     /// Whether its first byte has been written.
     pub(super) begun: bool,
 }
 
 /// Why a request could not be written completely.
-pub(super) enum Unwritten {
+pub(super) enum WriteFailure {
     /// A rule forbids it; nothing of the request has run.
     Denied(AttemptDenial),
-    Broken(io::Error),
+    Io(io::Error),
 }
 
-pub(super) struct Server {
+pub(super) struct HostConnection {
     pub(super) polled: Polled,
     pub(super) member: MemberId,
     /// The address it is connected to. Its db host may be listed under another one by now.
@@ -92,7 +92,7 @@
     pub(super) inbound: Ring,
     pub(super) outbound: Ring,
     pub(super) stage: Stage,
-    pub(super) sending: Sending,
+    pub(super) write_progress: WriteProgress,
     /// The latest error answers on this connection, with the positions that they reported.
     pub(super) errors: VecDeque<(String, f64)>,
     /// Digests of the latest answers on this connection.
@@ -103,7 +103,7 @@
     pub(super) marker: Option<SyncMarker>,
 }
 
-impl Server {
+impl HostConnection {
     /// Whether a reply equals an earlier error answer on this connection, including its position. Positions
     /// usually advance, so that an error with an unchanged position may be a duplicate, which says nothing
     /// about its request.
@@ -127,7 +127,7 @@
     }
 
     /// Whether part of its job has not left this machine.
-    pub(super) fn holds_unsent_job(&self) -> bool {
+    pub(super) fn has_unsent_job(&self) -> bool {
         match &self.stage {
             Stage::Busy { job, .. } => !job.is_written() || self.polled.holds_unsent(),
             _ => false,
@@ -135,7 +135,7 @@
     }
 
     /// Whether a long answer is being passed on in parts.
-    pub(super) fn is_passing(&self) -> bool {
+    pub(super) fn is_streaming(&self) -> bool {
         match &self.stage {
             Stage::Busy { reply, .. } => matches!(reply.shape, Shape::Passing(_)) || reply.is_full(),
             _ => false,
@@ -146,19 +146,19 @@
 impl Backend {
     pub(super) fn open(&mut self, turn: &mut Turn, member: MemberId) -> io::Result<()> {
         let Some(host) = self.hosts.get_mut(&member) else { return Ok(()) };
-        let id = ServerId(self.next);
-        self.next += 1;
+        let id = ServerId(self.next_connection);
+        self.next_connection += 1;
         let polled = Polled::connect(turn, host.addr, Source::Server(id))?;
         polled.hold_little(SEND_BUFFER);
-        let by = turn.now + self.connections.connect_timeout;
-        let mut s = Server {
+        let by = turn.now + self.connection_settings.connect_timeout;
+        let mut s = HostConnection {
             polled,
             member,
             addr: host.addr,
             inbound: Ring::default(),
             outbound: Ring::default(),
             stage: Stage::Starting { by },
-            sending: Sending::default(),
+            write_progress: WriteProgress::default(),
             errors: VecDeque::new(),
             answers: VecDeque::new(),
             has_carried_request: false,
@@ -188,21 +188,21 @@
             self.reset(turn, id);
         }
         if let Stage::Busy { mut job, reply, .. } = former {
-            job.leave_connection(if has_rest { ConnectionEnd::Reset } else { ConnectionEnd::Kept });
+            job.set_connection_end(if has_rest { ConnectionEnd::Reset } else { ConnectionEnd::Kept });
             let ending = reply.ending().unwrap_or(Ending::Reset);
-            self.end(turn, exchange, member, job, ending, reply);
+            self.end_job(turn, exchange, member, job, ending, reply);
         }
         if has_rest || !self.keep_if_reusable(turn, id) {
             return self.fail_surplus_job(turn, exchange, member, Ending::ConnectFailed);
         }
-        self.write_oldest_waiting(turn, exchange, member, id);
+        self.write_oldest_waiting_job(turn, exchange, member, id);
     }
 
     /// Puts a connection into the pool. Returns its db host and its previous stage.
     fn make_idle(&mut self, turn: &mut Turn, id: ServerId) -> Option<(MemberId, Stage)> {
         let s = self.servers.get_mut(&id)?;
         let member = s.member;
-        let until = turn.now + (self.connections.idle as f64 * IDLE_SHARE) as Micros;
+        let until = turn.now + (self.connection_settings.idle as f64 * IDLE_SHARE) as Micros;
         let former = std::mem::replace(&mut s.stage, Stage::Idle { since: turn.now, until });
         turn.deadlines.set(until, Due::Server(id));
         let host = self.hosts.get_mut(&member)?;
@@ -212,9 +212,9 @@
                 host.starting -= 1;
                 turn.deadlines.clear(*by, Due::Server(id));
             }
-            Stage::Trailing { by } => turn.deadlines.clear(*by, Due::Server(id)),
+            Stage::AwaitsReady { by } => turn.deadlines.clear(*by, Due::Server(id)),
             Stage::Busy { reply, .. } => s.remember(reply),
-            Stage::Idle { .. } | Stage::Ending { .. } | Stage::Spent => {}
+            Stage::Idle { .. } | Stage::AwaitsClose { .. } | Stage::Resetting => {}
         }
         Some((member, former))
     }
@@ -224,7 +224,7 @@
     /// only after errors: a value is made from the complete request.
     fn has_rest_of_request(&self, id: ServerId, former: &Stage) -> bool {
         let is_error = matches!(former, Stage::Busy { reply, .. } if reply.error.is_some());
-        let holds_rest = |s: &Server| !s.outbound.is_empty() || (is_error && s.has_more_to_send());
+        let holds_rest = |s: &HostConnection| !s.outbound.is_empty() || (is_error && s.has_more_to_send());
         self.servers.get(&id).is_some_and(holds_rest)
     }
 
@@ -241,7 +241,7 @@
     }
 
     /// Writes the oldest waiting job that may still be written to this connection.
-    fn write_oldest_waiting(
+    fn write_oldest_waiting_job(
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
@@ -266,10 +266,10 @@
         turn: &mut Turn,
         exchange: &mut Exchange,
         id: ServerId,
-    ) -> Result<(), Unwritten> {
+    ) -> Result<(), WriteFailure> {
         loop {
             if let Some(denial) = self.write_denial(turn.clock.now(), id) {
-                return Err(Unwritten::Denied(denial));
+                return Err(WriteFailure::Denied(denial));
             }
             let Some(s) = self.servers.get_mut(&id) else { return Ok(()) };
             match s.outbound.drain(&s.polled.socket) {
@@ -277,7 +277,7 @@
                 Ok(_) => return Ok(()),
                 // The connection is not established yet.
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(()),
-                Err(e) => return Err(Unwritten::Broken(e)),
+                Err(e) => return Err(WriteFailure::Io(e)),
             }
         }
     }
@@ -295,20 +295,20 @@
             job.note_written(turn.clock.now());
         }
         let Job::Attempt { id: attempt, .. } = *job else { return };
-        if !std::mem::replace(&mut s.sending.begun, true) {
+        if !std::mem::replace(&mut s.write_progress.begun, true) {
             let closed = self.hosts.get(&s.member).and_then(|host| host.closed_since);
             exchange.first_byte_written(turn, attempt, closed);
         }
         if is_last {
-            let Sending { told, told_until, .. } = s.sending;
+            let WriteProgress { stated_wait: told, wait_accurate_until: told_until, .. } = s.write_progress;
             exchange.attempt_written(turn, attempt, told);
-            self.look_by(turn, attempt, told_until);
+            self.bring_deadline_forward(turn, attempt, told_until);
         }
     }
 
     /// Moves an attempt's deadline forward to `by`. From then on, bytes that are still in the kernel's send
     /// buffer state too long a wait time to the db host.
-    fn look_by(&mut self, turn: &mut Turn, attempt: AttemptId, by: Option<Micros>) {
+    fn bring_deadline_forward(&mut self, turn: &mut Turn, attempt: AttemptId, by: Option<Micros>) {
         let (Some(by), Some((due, _))) = (by, self.attempts.get_mut(&attempt)) else { return };
         if by < *due {
             turn.deadlines.clear(*due, Due::Attempt(attempt));
--- a/crates/gradeshunt/src/backend/ending.rs
+++ b/crates/gradeshunt/src/backend/ending.rs
@@ -10,7 +10,7 @@
 use leadmast::{Ending, Micros};
 use slog::debug;
 
-use super::connection::{Server, Stage};
+use super::connection::{HostConnection, Stage};
 use super::jobs::Job;
 use super::reply::Reply;
 use super::Backend;
@@ -25,13 +25,13 @@
 
 /// An attempt that was given up, as it will be reported to the exchange.
 #[derive(Debug)]
-pub(super) struct GivenUp {
+pub(super) struct AbandonedAttempt {
     pub(super) job: Job,
     pub(super) ending: Ending,
     pub(super) reply: Reply,
 }
 
-impl Server {
+impl HostConnection {
     /// Shuts down the sending direction, if all of the request has left this machine: otherwise the shutdown
     /// would deliver the rest.
     fn end_sending(&self) -> bool {
@@ -47,7 +47,7 @@
         turn: &mut Turn,
         exchange: &mut Exchange,
         id: ServerId,
-        given_up: GivenUp,
+        given_up: AbandonedAttempt,
     ) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         let by = turn.now + HOST_END_TIMEOUT;
@@ -56,7 +56,7 @@
             Job::Probe { .. } => false,
         };
         let awaits_end = may_be_followed && s.end_sending();
-        s.stage = Stage::Ending { given_up, by };
+        s.stage = Stage::AwaitsClose { given_up, by };
         if awaits_end {
             turn.deadlines.set(by, Due::Server(id));
             // The db host's end may already have been signalled without having been read; it is not signalled
@@ -72,15 +72,15 @@
     pub(super) fn finish_ending(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         let member = s.member;
-        let (given_up, by) = match std::mem::replace(&mut s.stage, Stage::Spent) {
-            Stage::Ending { given_up, by } => (given_up, by),
+        let (given_up, by) = match std::mem::replace(&mut s.stage, Stage::Resetting) {
+            Stage::AwaitsClose { given_up, by } => (given_up, by),
             other => return s.stage = other,
         };
         turn.deadlines.clear(by, Due::Server(id));
         debug!(turn.log, "connection of an abandoned attempt ended"; "member" => member.0,
             "awaited_us" => turn.clock.now() - (by - HOST_END_TIMEOUT));
         self.close(turn, id);
-        let GivenUp { job, ending, reply } = given_up;
-        self.end(turn, exchange, member, job, ending, reply);
+        let AbandonedAttempt { job, ending, reply } = given_up;
+        self.end_job(turn, exchange, member, job, ending, reply);
     }
 }
--- a/crates/gradeshunt/src/backend/failures.rs
+++ b/crates/gradeshunt/src/backend/failures.rs
@@ -4,7 +4,7 @@
 use slog::info;
 
 use super::connection::Stage;
-use super::ending::GivenUp;
+use super::ending::AbandonedAttempt;
 use super::jobs::Job;
 use super::reply::Reply;
 use super::Backend;
@@ -28,7 +28,7 @@
             self.close(turn, id);
             let broken = job.ending_without_answer(Ending::Reset, Ending::ConnectFailed);
             let ending = reply.ending().unwrap_or(broken);
-            return self.end(turn, exchange, member, job, ending, reply);
+            return self.end_job(turn, exchange, member, job, ending, reply);
         }
         let Some(s) = self.servers.get(&id) else { return };
         match s.stage {
@@ -36,7 +36,7 @@
                 info!(turn.log, "db host connection failed"; "member" => s.member.0, "why" => why);
                 self.startup_failed(turn, exchange, id, Ending::ConnectFailed);
             }
-            Stage::Ending { .. } => self.finish_ending(turn, exchange, id),
+            Stage::AwaitsClose { .. } => self.finish_ending(turn, exchange, id),
             _ => self.close(turn, id),
         }
     }
@@ -58,14 +58,14 @@
             Some(ending) => (ending, reply),
             None => (job.ending_without_answer(Ending::Error, Ending::ConnectFailed), Reply::default()),
         };
-        self.end_with_connection(turn, exchange, id, GivenUp { job, ending, reply });
+        self.end_with_connection(turn, exchange, id, AbandonedAttempt { job, ending, reply });
     }
 
     /// Handles a duplicate, or possible duplicate, of an earlier error in place of an answer. It says nothing
     /// about its request, which may still be running.
     pub(super) fn answer_copied(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some((member, job, reply)) = self.take_job(id) else { return };
-        self.end_with_connection(turn, exchange, id, GivenUp { job, ending: Ending::Error, reply });
+        self.end_with_connection(turn, exchange, id, AbandonedAttempt { job, ending: Ending::Error, reply });
         self.fail_surplus_job(turn, exchange, member, Ending::ConnectFailed);
     }
 
@@ -73,9 +73,9 @@
     /// a duplicate of an earlier one is dropped.
     pub(super) fn take_job(&mut self, id: ServerId) -> Option<(MemberId, Job, Reply)> {
         let s = self.servers.get_mut(&id)?;
-        match std::mem::replace(&mut s.stage, Stage::Spent) {
+        match std::mem::replace(&mut s.stage, Stage::Resetting) {
             Stage::Busy { mut job, reply, .. } => {
-                job.leave_connection(ConnectionEnd::Reset);
+                job.set_connection_end(ConnectionEnd::Reset);
                 let may_be_copy = s.marker.is_some() || s.repeats_error(&reply) || s.may_be_copy(&reply);
                 let reply = if may_be_copy { Reply::default() } else { reply };
                 Some((s.member, job, reply))
@@ -123,7 +123,7 @@
         let Some(host) = self.hosts.get_mut(&member) else { return };
         if host.waiting.len() > host.starting {
             if let Some(job) = host.waiting.pop_front() {
-                self.end(turn, exchange, member, job, ending, Reply::default());
+                self.end_job(turn, exchange, member, job, ending, Reply::default());
             }
         }
     }
--- a/crates/gradeshunt/src/backend/hosts.rs
+++ b/crates/gradeshunt/src/backend/hosts.rs
@@ -181,7 +181,7 @@
     fn stop(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         let Some(host) = self.hosts.get_mut(&member) else { return };
         for job in std::mem::take(&mut host.waiting) {
-            self.end(turn, exchange, member, job, Ending::Moot, Reply::default());
+            self.end_job(turn, exchange, member, job, Ending::Moot, Reply::default());
         }
         self.close_idle(turn, member);
     }
@@ -191,13 +191,13 @@
     /// probe again, and would delay its first reads for that.
     pub(super) fn tell_unshown(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         if self.hosts.get(&member).is_some_and(|host| host.positions.holds_unshown()) {
-            self.unshown.push(member);
+            self.unverified_positions.push(member);
         }
         let now = turn.clock.now();
-        if self.unshown.is_empty() || !turn.clock.is_shown(now) {
+        if self.unverified_positions.is_empty() || !turn.clock.is_shown(now) {
             return;
         }
-        for member in std::mem::take(&mut self.unshown) {
+        for member in std::mem::take(&mut self.unverified_positions) {
             let host = self.hosts.get_mut(&member);
             let told = host.and_then(|host| host.positions.take_unshown(&turn.clock, now));
             if let Some((position, at)) = told {
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -11,8 +11,8 @@
 use leadmast::{Ending, MemberId, Micros, Probed};
 use slog::{debug, info};
 
-use super::connection::{Sending, Server, Stage, Unwritten};
-use super::ending::GivenUp;
+use super::connection::{HostConnection, Stage, WriteFailure, WriteProgress};
+use super::ending::AbandonedAttempt;
 use super::hosts::Host;
 use super::load_report::report_of;
 use super::reply::Reply;
@@ -27,7 +27,7 @@
 use crate::turn::Turn;
 
 /// Time for which the process may be suspended between reading its clock and writing.
-const HELD_UP: Micros = 150_000;
+const SUSPENSION_TOLERANCE: Micros = 150_000;
 
 /// A use of a connection.
 #[derive(Debug)]
@@ -78,7 +78,7 @@
     }
 
     /// Records the state of its connection at its end.
-    pub(super) fn leave_connection(&mut self, end: ConnectionEnd) {
+    pub(super) fn set_connection_end(&mut self, end: ConnectionEnd) {
         if let Job::Attempt { trace, .. } = self {
             trace.connection_end = end;
         }
@@ -87,25 +87,25 @@
 
 /// The place of a job: in a db host's queue for a connection, or on a connection.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Place {
+pub(super) enum JobPlace {
     Waiting(MemberId),
     On(ServerId),
 }
 
 impl Backend {
-    pub(super) fn begin(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId, job: Job) {
+    pub(super) fn begin_job(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId, job: Job) {
         if let Some(denial) = self.job_denial(turn.now, member, &job) {
             return self.end_denied(turn, exchange, member, job, denial);
         }
         match &job {
             Job::Attempt { id, write_by, .. } => {
                 turn.deadlines.set(*write_by, Due::Attempt(*id));
-                self.attempts.insert(*id, (*write_by, Place::Waiting(member)));
+                self.attempts.insert(*id, (*write_by, JobPlace::Waiting(member)));
             }
             Job::Probe { since, .. } => {
-                let until = since + self.connections.connect_timeout;
+                let until = since + self.connection_settings.connect_timeout;
                 turn.deadlines.set(until, Due::Probe(member));
-                self.probes.insert(member, (until, Place::Waiting(member)));
+                self.probes.insert(member, (until, JobPlace::Waiting(member)));
             }
         }
         if let Some(id) = self.lease(turn, member) {
@@ -139,7 +139,7 @@
             return None;
         }
         let host = self.hosts.get(&s.member).map_or(HostStanding::Unknown, Host::standing);
-        let Sending { told_until, begun, .. } = s.sending;
+        let WriteProgress { wait_accurate_until: told_until, begun, .. } = s.write_progress;
         may_write(now, &WriteFacts { until: *until, write_by: *write_by, told_until, begun, host }).err()
     }
 
@@ -155,20 +155,20 @@
         if let Job::Attempt { id, .. } = &job {
             exchange.record_denial(turn, *id, denial);
         }
-        self.end(turn, exchange, member, job, Ending::Moot, Reply::default());
+        self.end_job(turn, exchange, member, job, Ending::Moot, Reply::default());
     }
 
     /// Handles a request that cannot be written completely.
-    pub(super) fn unwritten(
+    pub(super) fn write_failed(
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
         id: ServerId,
-        why: Unwritten,
+        why: WriteFailure,
     ) {
         match why {
-            Unwritten::Broken(e) => self.connection_failed(turn, exchange, id, &e.to_string()),
-            Unwritten::Denied(denial) => {
+            WriteFailure::Io(e) => self.connection_failed(turn, exchange, id, &e.to_string()),
+            WriteFailure::Denied(denial) => {
                 let Some((member, job, _)) = self.take_job(id) else { return };
                 info!(turn.log, "attempt not fully written"; "member" => member.0, "why" => denial.name());
                 self.close(turn, id);
@@ -179,10 +179,10 @@
 
     pub(super) fn write(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId, mut job: Job) {
         let Some(s) = self.servers.get_mut(&id) else { return };
-        if matches!(s.stage, Stage::Idle { until, .. } if turn.clock.now() > until + HELD_UP) {
+        if matches!(s.stage, Stage::Idle { until, .. } if turn.clock.now() > until + SUSPENSION_TOLERANCE) {
             exchange.record_violation(turn, Rule::ExpiredConnection, None);
         }
-        let mut sending = Sending::default();
+        let mut sending = WriteProgress::default();
         let begin = s.begin_request();
         let pushed = match &mut job {
             Job::Attempt { id: attempt, body, until, write_by, trace, .. } => {
@@ -191,7 +191,7 @@
                     turn.deadlines.clear(a.0, Due::Attempt(*attempt));
                     let due = (*until).min(*write_by);
                     turn.deadlines.set(due, Due::Attempt(*attempt));
-                    *a = (due, Place::On(id));
+                    *a = (due, JobPlace::On(id));
                 }
                 let (before, after) = body.split_at_wait();
                 let now = turn.clock.now();
@@ -200,7 +200,11 @@
                 // A plain statement does not tell the db host how long the client waits.
                 if body.states_wait() {
                     let told_until = Some(now + holds_for);
-                    sending = Sending { told: Some(told_ms * 1000), told_until, begun: false };
+                    sending = WriteProgress {
+                        stated_wait: Some(told_ms * 1000),
+                        wait_accurate_until: told_until,
+                        begun: false,
+                    };
                 }
                 let wait = told_ms.to_string();
                 let query = match after {
@@ -211,7 +215,7 @@
             }
             Job::Probe { .. } => {
                 if let Some(p) = self.probes.get_mut(&s.member) {
-                    p.1 = Place::On(id);
+                    p.1 = JobPlace::On(id);
                 }
                 s.outbound.push(&begin.query(&[b"SHOW pressure"]).0)
             }
@@ -221,14 +225,14 @@
             Job::Probe { .. } => AnswerForm::Value,
         };
         s.stage = Stage::Busy { job, reply: Reply { form, ..Reply::default() }, ready_by: None };
-        s.sending = sending;
+        s.write_progress = sending;
         let flushed = if pushed {
             self.flush(turn, exchange, id)
         } else {
-            Err(Unwritten::Broken(io::Error::other("the request is too long")))
+            Err(WriteFailure::Io(io::Error::other("the request is too long")))
         };
         if let Err(why) = flushed {
-            self.unwritten(turn, exchange, id, why);
+            self.write_failed(turn, exchange, id, why);
         }
     }
 
@@ -236,16 +240,18 @@
     /// arrive only once the db host reads.
     pub(super) fn is_unsent(&self, id: AttemptId) -> bool {
         match self.attempts.get(&id) {
-            Some((_, Place::Waiting(_))) => true,
-            Some((_, Place::On(server))) => self.servers.get(server).is_some_and(Server::holds_unsent_job),
+            Some((_, JobPlace::Waiting(_))) => true,
+            Some((_, JobPlace::On(server))) => {
+                self.servers.get(server).is_some_and(HostConnection::has_unsent_job)
+            }
             None => false,
         }
     }
 
     /// The time until which an attempt is waited for if it has been sent completely. Such an attempt may
     /// outlast the window for writing it and the wait time that its statement states.
-    pub(super) fn goes_on_until(&self, now: Micros, id: AttemptId) -> Option<Micros> {
-        let (_, Place::On(server)) = self.attempts.get(&id)? else { return None };
+    pub(super) fn awaited_until(&self, now: Micros, id: AttemptId) -> Option<Micros> {
+        let (_, JobPlace::On(server)) = self.attempts.get(&id)? else { return None };
         let Stage::Busy { job: Job::Attempt { until, .. }, .. } = &self.servers.get(server)?.stage else {
             return None;
         };
@@ -274,12 +280,12 @@
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
-        place: Place,
+        place: JobPlace,
         ending: Ending,
         is_it: impl Fn(&Job) -> bool,
     ) {
         match place {
-            Place::Waiting(member) => {
+            JobPlace::Waiting(member) => {
                 let Some(host) = self.hosts.get_mut(&member) else { return };
                 let Some(at) = host.waiting.iter().position(is_it) else { return };
                 let Some(job) = host.waiting.remove(at) else { return };
@@ -289,27 +295,27 @@
                     _ if host.connect_at.is_some() => Ending::Moot,
                     Job::Probe { .. } => ending,
                     Job::Attempt { since, .. } => {
-                        unsent_ending(ending, turn.now - since, self.connections.connect_timeout)
+                        unsent_ending(ending, turn.now - since, self.connection_settings.connect_timeout)
                     }
                 };
-                self.end(turn, exchange, member, job, ending, Reply::default());
+                self.end_job(turn, exchange, member, job, ending, Reply::default());
             }
-            Place::On(id) => {
+            JobPlace::On(id) => {
                 let Some((member, job, reply)) = self.take_job(id) else { return };
                 // A complete answer counts even though ReadyForQuery is missing.
                 let ends = reply.ending().unwrap_or(job.ending_without_answer(ending, Ending::Moot));
                 // Nobody waits for a cancelled attempt, and no other attempt follows it.
                 if ending == Ending::Cancelled {
                     self.close(turn, id);
-                    return self.end(turn, exchange, member, job, ends, reply);
+                    return self.end_job(turn, exchange, member, job, ends, reply);
                 }
-                self.end_with_connection(turn, exchange, id, GivenUp { job, ending: ends, reply });
+                self.end_with_connection(turn, exchange, id, AbandonedAttempt { job, ending: ends, reply });
             }
         }
     }
 
     /// Ends a job and reports its one outcome. All jobs end here.
-    pub(super) fn end(
+    pub(super) fn end_job(
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
--- a/crates/gradeshunt/src/backend/opening.rs
+++ b/crates/gradeshunt/src/backend/opening.rs
@@ -42,7 +42,7 @@
 
     /// Opens a connection, and first closes an idle one if the limit is reached.
     fn open_with_room(&mut self, turn: &mut Turn, member: MemberId) -> io::Result<()> {
-        if self.servers.len() >= self.most && !self.close_oldest_idle(turn) {
+        if self.servers.len() >= self.max_connections && !self.close_oldest_idle(turn) {
             return Err(io::Error::other("too many connections"));
         }
         match self.open(turn, member) {
@@ -67,7 +67,7 @@
     fn end_latest_waiting(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         let job = self.hosts.get_mut(&member).and_then(|host| host.waiting.pop_back());
         if let Some(job) = job {
-            self.end(turn, exchange, member, job, Ending::Moot, Reply::default());
+            self.end_job(turn, exchange, member, job, Ending::Moot, Reply::default());
         }
     }
 }
--- a/crates/gradeshunt/src/backend/pool.rs
+++ b/crates/gradeshunt/src/backend/pool.rs
@@ -50,16 +50,16 @@
                     host.starting -= 1;
                     turn.deadlines.clear(by, Due::Server(id));
                 }
-                Stage::Trailing { by } | Stage::Ending { by, .. } => {
+                Stage::AwaitsReady { by } | Stage::AwaitsClose { by, .. } => {
                     turn.deadlines.clear(by, Due::Server(id))
                 }
-                Stage::Idle { .. } | Stage::Busy { .. } | Stage::Spent => {}
+                Stage::Idle { .. } | Stage::Busy { .. } | Stage::Resetting => {}
             }
         }
         match s.stage {
             // An ordinary close would still deliver the kernel's unsent bytes of an abandoned request once
             // the db host reads again.
-            Stage::Spent | Stage::Ending { .. } => s.polled.abort(turn),
+            Stage::Resetting | Stage::AwaitsClose { .. } => s.polled.abort(turn),
             _ => s.polled.close(turn),
         }
         self.forget_if_gone(s.member);
@@ -69,7 +69,7 @@
     pub(super) fn reset(&mut self, turn: &mut Turn, id: ServerId) {
         self.take_idle(turn, id);
         if let Some(server) = self.servers.get_mut(&id) {
-            server.stage = Stage::Spent;
+            server.stage = Stage::Resetting;
         }
         self.close(turn, id);
     }
@@ -94,9 +94,9 @@
             Stage::Idle { since, .. } => Some((since, *id)),
             Stage::Starting { .. }
             | Stage::Busy { .. }
-            | Stage::Spent
-            | Stage::Ending { .. }
-            | Stage::Trailing { .. } => None,
+            | Stage::Resetting
+            | Stage::AwaitsClose { .. }
+            | Stage::AwaitsReady { .. } => None,
         });
         let oldest = idle.min();
         oldest.into_iter().for_each(|(_, id)| self.close(turn, id));
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -4,7 +4,7 @@
 
 use leadmast::{Ending, Micros};
 
-use super::connection::{Server, Stage};
+use super::connection::{HostConnection, Stage};
 use super::discard::Discarded;
 use super::jobs::Job;
 use super::reply::Shape;
@@ -27,7 +27,7 @@
 /// Reads from one connection per turn.
 const READS_PER_TURN: usize = 8;
 
-impl Server {
+impl HostConnection {
     /// Called when no complete message is left. Limits the wait for ReadyForQuery after a complete answer, so
     /// that the client does not wait for what is not part of its answer. An answer that may be a duplicate
     /// does not count.
@@ -45,11 +45,11 @@
 impl Backend {
     pub fn ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         if let Err(why) = self.flush(turn, exchange, id) {
-            return self.unwritten(turn, exchange, id, why);
+            return self.write_failed(turn, exchange, id, why);
         }
         for _ in 0..READS_PER_TURN {
             let Some(s) = self.servers.get_mut(&id) else { return };
-            if s.is_passing() {
+            if s.is_streaming() {
                 // What the frontend cannot take yet is left in the db host's connection;
                 // [`BackendCommand::Resume`](crate::exchange::BackendCommand::Resume) follows.
                 if s.inbound.len() >= READ_SIZE {
@@ -70,7 +70,7 @@
             }
             if let Some(why) = end {
                 // Reading meets the end again once the frontend has taken the data before it.
-                if self.servers.get(&id).is_some_and(|s| s.is_passing() && !s.inbound.is_empty()) {
+                if self.servers.get(&id).is_some_and(|s| s.is_streaming() && !s.inbound.is_empty()) {
                     return;
                 }
                 return self.connection_failed(turn, exchange, id, &why);
@@ -91,7 +91,7 @@
                 continue;
             }
             let Some(s) = self.servers.get_mut(&id) else { return Ok(()) };
-            if matches!(s.stage, Stage::Ending { .. }) {
+            if matches!(s.stage, Stage::AwaitsClose { .. }) {
                 // What arrives for an abandoned attempt is dropped.
                 s.inbound.consume(s.inbound.len());
                 return Ok(());
@@ -153,13 +153,14 @@
                     b'Z' => true,
                     _ => return Err(Malformed("unexpected message during startup")),
                 },
-                Stage::Trailing { .. } if tag == b'Z' => true,
-                Stage::Idle { .. } | Stage::Spent | Stage::Ending { .. } | Stage::Trailing { .. } => {
-                    match tag {
-                        b'S' | b'N' => false,
-                        _ => return Err(Malformed("unexpected message between requests")),
-                    }
-                }
+                Stage::AwaitsReady { .. } if tag == b'Z' => true,
+                Stage::Idle { .. }
+                | Stage::Resetting
+                | Stage::AwaitsClose { .. }
+                | Stage::AwaitsReady { .. } => match tag {
+                    b'S' | b'N' => false,
+                    _ => return Err(Malformed("unexpected message between requests")),
+                },
                 Stage::Busy { reply, .. } => reply.take(&message)?,
             };
             s.inbound.consume(size);
@@ -226,13 +227,13 @@
         let ending = reply.ending().unwrap_or(Ending::Error);
         match self.servers.get_mut(&id) {
             Some(s) if ending == Ending::Ok && !s.has_more_to_send() => {
-                job.leave_connection(ConnectionEnd::AwaitsReady);
+                job.set_connection_end(ConnectionEnd::AwaitsReady);
                 let by = turn.now + READY_TIMEOUT;
-                s.stage = Stage::Trailing { by };
+                s.stage = Stage::AwaitsReady { by };
                 turn.deadlines.set(by, Due::Server(id));
             }
             _ => self.close(turn, id),
         }
-        self.end(turn, exchange, member, job, ending, reply);
+        self.end_job(turn, exchange, member, job, ending, reply);
     }
 }
--- a/crates/gradeshunt/src/backend/sync_marker.rs
+++ b/crates/gradeshunt/src/backend/sync_marker.rs
@@ -13,7 +13,7 @@
 use leadmast::{Ending, Micros};
 use slog::debug;
 
-use super::connection::{Server, Stage, Unwritten};
+use super::connection::{HostConnection, Stage, WriteFailure};
 use super::discard::{Discard, Discarded};
 use super::jobs::Job;
 use super::reply::Reply;
@@ -141,7 +141,7 @@
     Some(hasher.finish())
 }
 
-impl Server {
+impl HostConnection {
     /// Whether an answer equals a recent one on this connection, so that it may be a duplicate; also known
     /// before its ReadyForQuery. Excluded are errors that report a position, which `repeats_error` checks
     /// once they are complete, and other refusals, which are too frequent.
@@ -257,12 +257,12 @@
         let written = if pushed {
             self.flush(turn, exchange, id)
         } else {
-            Err(Unwritten::Broken(std::io::ErrorKind::OutOfMemory.into()))
+            Err(WriteFailure::Io(std::io::ErrorKind::OutOfMemory.into()))
         };
         match written {
             Ok(()) if is_probe => self.connection_ready(turn, exchange, id),
             Ok(()) => {}
-            Err(why) => self.unwritten(turn, exchange, id, why),
+            Err(why) => self.write_failed(turn, exchange, id, why),
         }
     }
 
@@ -284,12 +284,12 @@
         if held.is_some_and(|reply| reply.error.is_some()) {
             return self.answer_copied(turn, exchange, id);
         }
-        let Stage::Busy { mut job, .. } = std::mem::replace(&mut s.stage, Stage::Trailing { by }) else {
+        let Stage::Busy { mut job, .. } = std::mem::replace(&mut s.stage, Stage::AwaitsReady { by }) else {
             return;
         };
-        job.leave_connection(ConnectionEnd::AwaitsReady);
+        job.set_connection_end(ConnectionEnd::AwaitsReady);
         let reply = Reply { may_be_copy: true, ..Reply::default() };
-        self.end(turn, exchange, member, job, Ending::Error, reply);
+        self.end_job(turn, exchange, member, job, Ending::Error, reply);
         self.connection_ready(turn, exchange, id);
     }
 }
--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -11,7 +11,7 @@
 use gradeshunt_placement::Source;
 use leadmast::{ClassId, Ending, Entry, GroupId, ListKind, MemberId, Micros, Phase, RequestId, ZoneId};
 
-use super::connection::{Server, Stage};
+use super::connection::{HostConnection, Stage};
 use super::ending::HOST_END_TIMEOUT;
 use super::hosts::Listed;
 use super::jobs::unsent_ending;
@@ -105,7 +105,7 @@
             leadmast::settings::read(&config["settings"]).expect("the example's settings are invalid");
         let mut exchange = Exchange::new(facts.settings.clone(), Vec::new(), 7, 0);
         let mut backend = Backend::new(facts.connections, &facts.names);
-        backend.limit(&mut turn, 10);
+        backend.set_max_connections(&mut turn, 10);
         let host = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
         let addr = host.local_addr().expect("no local address");
         let listed = Listed { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
@@ -125,7 +125,7 @@
 
     /// Has the backend open a connection for a probe and pool it after the load report.
     fn pool_connection(&mut self) -> TcpStream {
-        self.backend.carry_out(&mut self.turn, &mut self.exchange, BackendCommand::Probe(MEMBER));
+        self.backend.execute(&mut self.turn, &mut self.exchange, BackendCommand::Probe(MEMBER));
         let (mut server, _) = self.host.accept().expect("no connection arrived");
         server.set_nodelay(true).expect("cannot set a socket option");
         server
@@ -151,7 +151,7 @@
         self.exchange.update_members(&mut self.turn, ListKind::Full, vec![entry(group, true)]);
         self.exchange.submit(&mut self.turn, call(ClassId(0), group));
         while let Some(command) = self.exchange.backend_commands.pop_front() {
-            self.backend.carry_out(&mut self.turn, &mut self.exchange, command);
+            self.backend.execute(&mut self.turn, &mut self.exchange, command);
         }
         let mut query = Vec::new();
         while !query.ends_with(b"SELECT 1\0") {
@@ -198,7 +198,7 @@
     let moved = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
     let addr = moved.local_addr().expect("no local address");
     // A job is out on the connection, so that the change of address does not close it.
-    play.backend.carry_out(&mut play.turn, &mut play.exchange, BackendCommand::Probe(MEMBER));
+    play.backend.execute(&mut play.turn, &mut play.exchange, BackendCommand::Probe(MEMBER));
     let listed = Listed { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
     play.backend.list(&mut play.turn, &mut play.exchange, ListKind::Full, &[listed]);
     assert_eq!(play.backend.servers.len(), 1);
@@ -219,10 +219,10 @@
     let body = Rc::new(Body::new(b"SELECT 1".to_vec(), None, AnswerForm::Value));
     let until = play.turn.clock.now() + PATIENCE;
     let command = BackendCommand::Start { attempt, member: MEMBER, body, until, write_by: until };
-    play.backend.carry_out(&mut play.turn, &mut play.exchange, command);
+    play.backend.execute(&mut play.turn, &mut play.exchange, command);
     let error = Writer::default().message(b'E', &[b"SERROR\0CXX000\0Mbroken\0\0"]).0;
     server.write_all(&[empty_query_answer(), error].concat()).expect("the connection is closed");
-    let awaits_ready = |s: &Server| matches!(s.stage, Stage::Busy { ready_by: Some(_), .. });
+    let awaits_ready = |s: &HostConnection| matches!(s.stage, Stage::Busy { ready_by: Some(_), .. });
     play.until(|backend| backend.servers.values().any(awaits_ready));
     server.write_all(&Writer::default().ready().0).expect("the connection is closed");
     while play.backend.servers.values().all(|s| s.polled.is_quiet()) {}
--- a/crates/gradeshunt/src/backend/tests/late_connections.rs
+++ b/crates/gradeshunt/src/backend/tests/late_connections.rs
@@ -37,7 +37,7 @@
         let commands = std::mem::take(&mut self.exchange.backend_commands);
         for command in commands.into_iter().filter(|command| matches!(command, BackendCommand::Start { .. }))
         {
-            self.backend.carry_out(&mut self.turn, &mut self.exchange, command);
+            self.backend.execute(&mut self.turn, &mut self.exchange, command);
         }
         self.host.accept().expect("no connection arrived").0
     }
--- a/crates/gradeshunt/src/backend/tests/late_copies.rs
+++ b/crates/gradeshunt/src/backend/tests/late_copies.rs
@@ -8,7 +8,7 @@
 use leadmast::{MemberId, RequestId};
 
 use super::{empty_query_answer, Play, LONG_WAIT, MEMBER};
-use crate::backend::connection::{Server, Stage};
+use crate::backend::connection::{HostConnection, Stage};
 use crate::backend::reading::READY_GRACE;
 use crate::exchange::{Answer, AnswerForm, AttemptId, BackendCommand, Body, FinalAnswer};
 use crate::pg::Writer;
@@ -34,14 +34,14 @@
     /// A load report arrives, and its ReadyForQuery only after the probe was answered without it.
     fn pool_connection_with_a_late_ready_for_query(&mut self) -> TcpStream {
         let mut server = self.pool_connection();
-        self.backend.carry_out(&mut self.turn, &mut self.exchange, BackendCommand::Probe(MEMBER));
+        self.backend.execute(&mut self.turn, &mut self.exchange, BackendCommand::Probe(MEMBER));
         let answers = [empty_query_answer(), report()].concat();
         server
             .write_all(
                 answers.strip_suffix(ready().as_slice()).expect("the answer does not end with ReadyForQuery"),
             )
             .expect("the connection is closed");
-        let awaits_ready = |s: &Server| matches!(s.stage, Stage::Busy { ready_by: Some(_), .. });
+        let awaits_ready = |s: &HostConnection| matches!(s.stage, Stage::Busy { ready_by: Some(_), .. });
         self.until(|backend| backend.servers.values().any(awaits_ready));
         self.pass(READY_GRACE);
         server.write_all(&ready()).expect("the connection is closed");
@@ -82,7 +82,7 @@
         let attempt = AttemptId { request: RequestId(1), number };
         BackendCommand::Start { attempt, member: PEER, body: Rc::clone(&body), until, write_by: until }
     };
-    play.backend.carry_out(&mut play.turn, &mut play.exchange, command(0));
+    play.backend.execute(&mut play.turn, &mut play.exchange, command(0));
     let (mut server, _) = proxy.accept().expect("no connection arrived");
     server
         .write_all(&Writer::default().message(b'R', &[&[0; 4]]).ready().0)
@@ -90,7 +90,7 @@
     play.until(|backend| backend.hosts[&PEER].starting == 0);
     server.write_all(&value(b"one")).expect("the connection is closed");
     play.until(|backend| backend.attempts.is_empty());
-    play.backend.carry_out(&mut play.turn, &mut play.exchange, command(1));
+    play.backend.execute(&mut play.turn, &mut play.exchange, command(1));
     let query = Writer::default().query(&[b"SELECT 1"]).0;
     let mut bytes = Vec::new();
     while !bytes.ends_with(&query.repeat(2)) {
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -122,10 +122,10 @@
         let Some(r) = self.requests.get(&attempt.request) else { return };
         for earlier in &r.ended_attempts {
             let trace = &earlier.trace;
-            debug!(turn.log, "repeat written"; "at" => at, "earlier_ended" => earlier.ended,
+            debug!(turn.log, "repeat written"; "at" => at, "earlier_ended" => earlier.ended_at,
                 "earlier_ending" => ending_name(earlier.ending), "earlier_connection_end" => ?trace.connection_end,
                 "earlier_written" => trace.written, "earlier_leased" => trace.leased,
-                "earlier_connection" => trace.connection.map(|c| c.0), "earlier_begun" => earlier.since,
+                "earlier_connection" => trace.connection.map(|c| c.0), "earlier_begun" => earlier.begun_at,
                 "earlier" => earlier.number, "number" => attempt.number, "request" => attempt.request.0);
         }
     }
--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -136,7 +136,7 @@
     /// too.
     pub(super) fn may_have_run_since(&self) -> Option<Micros> {
         let in_doubt = self.ended_attempts.iter().filter(|ended| ended.may_have_run());
-        in_doubt.map(|ended| ended.since).chain(self.outcome_unknown_since).min()
+        in_doubt.map(|ended| ended.begun_at).chain(self.outcome_unknown_since).min()
     }
 
     /// Why no db host answered the request, when the balancer gives it up.
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -69,8 +69,8 @@
         r.last_ending = Some(ending);
         r.ended_attempts.push(EndedAttempt {
             number,
-            since: active.begun_at,
-            ended: turn.now,
+            begun_at: active.begun_at,
+            ended_at: turn.now,
             ending,
             trace,
         });
--- a/crates/gradeshunt/src/exchange/trace.rs
+++ b/crates/gradeshunt/src/exchange/trace.rs
@@ -33,8 +33,8 @@
 /// An attempt that has ended.
 pub(super) struct EndedAttempt {
     pub(super) number: u32,
-    pub(super) since: Micros,
-    pub(super) ended: Micros,
+    pub(super) begun_at: Micros,
+    pub(super) ended_at: Micros,
     pub(super) ending: Ending,
     pub(super) trace: AttemptTrace,
 }
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -196,7 +196,7 @@
         let Core { turn, exchange, .. } = &mut self.core;
         match step {
             Step::List(list) => self.list(&list),
-            Step::Order(order) => self.backend.carry_out(turn, exchange, order),
+            Step::Order(order) => self.backend.execute(turn, exchange, order),
             Step::Answer(request, exchange::Answer::Part(bytes)) => {
                 self.frontend.part(turn, exchange, request, &bytes)
             }
--- a/crates/gradeshunt/src/proxy/lifetime.rs
+++ b/crates/gradeshunt/src/proxy/lifetime.rs
@@ -55,7 +55,7 @@
         // A third of the descriptors for db hosts: an attempt needs one only while it is out, a client for
         // as long as it likes.
         let servers = sockets / 3;
-        self.backend.limit(&mut self.core.turn, servers);
+        self.backend.set_max_connections(&mut self.core.turn, servers);
         // Rings may still grow when a third of the memory is held: by what is under way.
         self.frontend.limit(&mut self.core.turn, sockets - servers, self.memory / processes / 3);
     }
