--- a/crates/gradeshunt/src/backend.rs
+++ b/crates/gradeshunt/src/backend.rs
@@ -94,8 +94,8 @@
             }
             BackendCommand::Resume(id) => {
                 if let Some((_, JobPlace::On(server))) = self.attempts.get(&id).copied() {
-                    match self.read(turn, exchange, server) {
-                        Ok(()) => self.ready(turn, exchange, server),
+                    match self.handle_messages(turn, exchange, server) {
+                        Ok(()) => self.handle_socket_ready(turn, exchange, server),
                         Err(Malformed(what)) => self.answer_malformed(turn, exchange, server, what),
                     }
                 }
@@ -117,7 +117,7 @@
         // A long answer that has begun is read for as long as it makes progress.
         if let Some((until, JobPlace::On(server))) = self.attempts.get_mut(&id) {
             let passed = self.servers.get(server).and_then(|s| match &s.stage {
-                Stage::Busy { reply, .. } => reply.passed,
+                Stage::Busy { reply, .. } => reply.last_passed_on,
                 _ => None,
             });
             if let Some(at) = passed.map(|at| at + STALL_TIMEOUT).filter(|at| *at > turn.now) {
@@ -147,7 +147,7 @@
             }
             Some(Stage::Idle { until, .. }) if *until <= turn.now => self.close(turn, id),
             Some(Stage::Busy { ready_by: Some(by), .. }) if *by <= turn.now => {
-                self.end_before_ready(turn, exchange, id)
+                self.end_without_ready(turn, exchange, id)
             }
             Some(Stage::Busy { .. }) if self.is_marker_due(turn.now, id) => {
                 self.marker_due(turn, exchange, id)
--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -9,7 +9,7 @@
 
 use super::ending::AbandonedAttempt;
 use super::jobs::Job;
-use super::reply::{Reply, Shape};
+use super::reply::{Reply, ReplyProgress};
 use super::sync_marker::SyncMarker;
 use super::Backend;
 use crate::deadlines::Due;
@@ -108,13 +108,13 @@
     /// usually advance, so that an error with an unchanged position may be a duplicate, which says nothing
     /// about its request.
     pub(super) fn repeats_error(&self, reply: &Reply) -> bool {
-        reply.told_error().is_some_and(|error| self.errors.contains(&error))
+        reply.error_with_position().is_some_and(|error| self.errors.contains(&error))
     }
 
     /// Remembers an answer, so that a duplicate that arrives after other answers is recognized.
     fn remember(&mut self, reply: &Reply) {
         self.remember_answer(reply);
-        self.errors.extend(reply.told_error());
+        self.errors.extend(reply.error_with_position());
         if self.errors.len() > ERRORS_KEPT {
             self.errors.pop_front();
         }
@@ -137,7 +137,9 @@
     /// Whether a long answer is being passed on in parts.
     pub(super) fn is_streaming(&self) -> bool {
         match &self.stage {
-            Stage::Busy { reply, .. } => matches!(reply.shape, Shape::Passing(_)) || reply.is_full(),
+            Stage::Busy { reply, .. } => {
+                matches!(reply.progress, ReplyProgress::Streaming(_)) || reply.is_full()
+            }
             _ => false,
         }
     }
@@ -300,9 +302,9 @@
             exchange.first_byte_written(turn, attempt, closed);
         }
         if is_last {
-            let WriteProgress { stated_wait: told, wait_accurate_until: told_until, .. } = s.write_progress;
-            exchange.attempt_written(turn, attempt, told);
-            self.bring_deadline_forward(turn, attempt, told_until);
+            let WriteProgress { stated_wait, wait_accurate_until, .. } = s.write_progress;
+            exchange.attempt_written(turn, attempt, stated_wait);
+            self.bring_deadline_forward(turn, attempt, wait_accurate_until);
         }
     }
 
--- a/crates/gradeshunt/src/backend/discard.rs
+++ b/crates/gradeshunt/src/backend/discard.rs
@@ -5,7 +5,7 @@
 use crate::ring::Ring;
 
 /// Bytes that are discarded at most: a duplicate of an answer is not longer.
-const MOST_DISCARDED: usize = 2 * pg::LONGEST_ROW;
+const MAX_DISCARDED: usize = 2 * pg::LONGEST_ROW;
 
 /// Progress of discarding: bytes left of the current message, bytes discarded, and complete answers
 /// discarded.
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Discarded {
     /// All available bytes were discarded, and more must arrive.
-    AllThatCame,
+    NeedsMore,
     /// EmptyQueryResponse is the next message.
     UpToMarker,
 }
@@ -38,17 +38,17 @@
             inbound.consume(taken);
             self.left -= taken;
             if self.left > 0 {
-                return Ok(Discarded::AllThatCame);
+                return Ok(Discarded::NeedsMore);
             }
             let Some((tag, size)) = pg::header(inbound.bytes(), pg::BACKEND)? else {
-                return Ok(Discarded::AllThatCame);
+                return Ok(Discarded::NeedsMore);
             };
             if tag == b'I' {
                 return Ok(Discarded::UpToMarker);
             }
             self.answers += u32::from(tag == b'Z');
             self.discarded += size;
-            if self.discarded > MOST_DISCARDED {
+            if self.discarded > MAX_DISCARDED {
                 return Err(Malformed("too much data before the answer to an empty query"));
             }
             self.left = size;
--- a/crates/gradeshunt/src/backend/failures.rs
+++ b/crates/gradeshunt/src/backend/failures.rs
@@ -63,7 +63,7 @@
 
     /// Handles a duplicate, or possible duplicate, of an earlier error in place of an answer. It says nothing
     /// about its request, which may still be running.
-    pub(super) fn answer_copied(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
+    pub(super) fn handle_copied_error(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some((member, job, reply)) = self.take_job(id) else { return };
         self.end_with_connection(turn, exchange, id, AbandonedAttempt { job, ending: Ending::Error, reply });
         self.fail_surplus_job(turn, exchange, member, Ending::ConnectFailed);
--- a/crates/gradeshunt/src/backend/hosts.rs
+++ b/crates/gradeshunt/src/backend/hosts.rs
@@ -38,7 +38,7 @@
     /// Number of all connections to it.
     pub(super) servers: usize,
     /// When connections are retried that failed for lack of system resources.
-    pub(super) connect_at: Option<Micros>,
+    pub(super) retry_connect_at: Option<Micros>,
     /// Jobs that wait for a connection, oldest first.
     pub(super) waiting: VecDeque<Job>,
     pub(super) positions: PositionReader,
@@ -96,7 +96,13 @@
     /// Applies a list from discovery. The idle connections of a host that drains or is gone are closed, and
     /// the jobs that wait for a connection to it end: nothing may be sent on a connection that is established
     /// only after the drain grace.
-    pub fn list(&mut self, turn: &mut Turn, exchange: &mut Exchange, kind: ListKind, listed: &[Listed]) {
+    pub fn apply_list(
+        &mut self,
+        turn: &mut Turn,
+        exchange: &mut Exchange,
+        kind: ListKind,
+        listed: &[Listed],
+    ) {
         let mut closed = Vec::new();
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             let all: BTreeSet<_> = listed.iter().map(|l| l.member).collect();
@@ -113,15 +119,15 @@
                 Phase::Draining => Standing::Draining,
                 Phase::Removed => Standing::Gone,
             };
-            let moved = self.take_over(turn, l.member, l.addr, standing);
+            let moved = self.update_host(turn, l.member, l.addr, standing);
             // If the host has moved, jobs that wait for a connection to its former address end as well.
             if standing != Standing::Open || moved {
                 closed.push(l.member);
             }
         }
         for member in closed {
-            self.stop(turn, exchange, member);
-            self.forget_if_gone(member);
+            self.end_waiting(turn, exchange, member);
+            self.remove_if_gone(member);
         }
     }
 
@@ -134,18 +140,18 @@
             if let Some(host) = self.hosts.get_mut(&member) {
                 host.set_standing(turn.now, Standing::Gone);
             }
-            self.stop(turn, exchange, member);
-            self.forget_if_gone(member);
+            self.end_waiting(turn, exchange, member);
+            self.remove_if_gone(member);
         }
         for peer in peers {
-            if self.take_over(turn, peer.member, peer.address, Standing::Open) {
-                self.stop(turn, exchange, peer.member);
+            if self.update_host(turn, peer.member, peer.address, Standing::Open) {
+                self.end_waiting(turn, exchange, peer.member);
             }
         }
     }
 
     /// Sets a host's address and standing; returns whether the address has changed.
-    fn take_over(&mut self, turn: &Turn, member: MemberId, addr: SocketAddr, standing: Standing) -> bool {
+    fn update_host(&mut self, turn: &Turn, member: MemberId, addr: SocketAddr, standing: Standing) -> bool {
         let host = self.hosts.entry(member).or_insert_with(|| Host {
             addr,
             standing,
@@ -154,7 +160,7 @@
             idle: Vec::new(),
             starting: 0,
             servers: 0,
-            connect_at: None,
+            retry_connect_at: None,
             waiting: VecDeque::new(),
             positions: PositionReader::default(),
         });
@@ -169,16 +175,16 @@
     }
 
     /// Holds a db host out or readmits it, on behalf of operators.
-    pub fn maintain(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId, out: bool) {
+    pub fn set_held_out(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId, out: bool) {
         let Some(host) = self.hosts.get_mut(&member) else { return };
         host.held_out = out;
         if out {
-            self.stop(turn, exchange, member);
+            self.end_waiting(turn, exchange, member);
         }
     }
 
     /// Ends the jobs that wait for a connection to a host, and closes the host's idle connections.
-    fn stop(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
+    fn end_waiting(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         let Some(host) = self.hosts.get_mut(&member) else { return };
         for job in std::mem::take(&mut host.waiting) {
             self.end_job(turn, exchange, member, job, Ending::Moot, Reply::default());
@@ -189,7 +195,12 @@
     /// Records that a db host has reported a position that cannot be verified yet, and reports all such
     /// positions to the exchange once they can be. Otherwise a process that has just started would have to
     /// probe again, and would delay its first reads for that.
-    pub(super) fn tell_unshown(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
+    pub(super) fn report_verified_positions(
+        &mut self,
+        turn: &mut Turn,
+        exchange: &mut Exchange,
+        member: MemberId,
+    ) {
         if self.hosts.get(&member).is_some_and(|host| host.positions.holds_unshown()) {
             self.unverified_positions.push(member);
         }
@@ -199,8 +210,8 @@
         }
         for member in std::mem::take(&mut self.unverified_positions) {
             let host = self.hosts.get_mut(&member);
-            let told = host.and_then(|host| host.positions.take_unshown(&turn.clock, now));
-            if let Some((position, at)) = told {
+            let verified = host.and_then(|host| host.positions.take_unshown(&turn.clock, now));
+            if let Some((position, at)) = verified {
                 let report = Report { position: Some(position), primary: Some(false), ..Report::default() };
                 let elapsed = turn.now - at;
                 exchange
@@ -211,7 +222,7 @@
 
     /// Removes a host that is gone and has no connections. Without this, memory would grow without bound as
     /// hosts are replaced by others under new names.
-    pub(super) fn forget_if_gone(&mut self, member: MemberId) {
+    pub(super) fn remove_if_gone(&mut self, member: MemberId) {
         let gone = |h: &Host| h.standing == Standing::Gone && h.servers == 0;
         if self.hosts.get(&member).is_some_and(gone) {
             self.hosts.remove(&member);
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -14,7 +14,7 @@
 use super::connection::{HostConnection, Stage, WriteFailure, WriteProgress};
 use super::ending::AbandonedAttempt;
 use super::hosts::Host;
-use super::load_report::report_of;
+use super::load_report::parse_load_report;
 use super::reply::Reply;
 use super::Backend;
 use crate::deadlines::Due;
@@ -196,17 +196,17 @@
                 let (before, after) = body.split_at_wait();
                 let now = turn.clock.now();
                 let Telling { told, holds_for } = time_to_tell(*until - now, body.len());
-                let told_ms = (told / 1000).max(1);
+                let wait_ms = (told / 1000).max(1);
                 // A plain statement does not tell the db host how long the client waits.
                 if body.states_wait() {
-                    let told_until = Some(now + holds_for);
+                    let wait_accurate_until = Some(now + holds_for);
                     sending = WriteProgress {
-                        stated_wait: Some(told_ms * 1000),
-                        wait_accurate_until: told_until,
+                        stated_wait: Some(wait_ms * 1000),
+                        wait_accurate_until,
                         begun: false,
                     };
                 }
-                let wait = told_ms.to_string();
+                let wait = wait_ms.to_string();
                 let query = match after {
                     Some(after) => begin.query(&[before, wait.as_bytes(), after]),
                     None => begin.query(&[before]),
@@ -292,7 +292,7 @@
                 // Its connection keeps connecting, for the next job. Nothing of an attempt was sent.
                 let ending = match job {
                     // The job waited for this machine's resources, which says nothing about the db host.
-                    _ if host.connect_at.is_some() => Ending::Moot,
+                    _ if host.retry_connect_at.is_some() => Ending::Moot,
                     Job::Probe { .. } => ending,
                     Job::Attempt { since, .. } => {
                         unsent_ending(ending, turn.now - since, self.connection_settings.connect_timeout)
@@ -342,7 +342,7 @@
                     {
                         HostReply::Leaving
                     }
-                    Ending::Error if reply.may_be_copy => HostReply::PossibleDuplicate,
+                    Ending::Error if reply.may_be_duplicate => HostReply::PossibleDuplicate,
                     Ending::Full if reply.error.is_some() => {
                         HostReply::Refused { retry_after: pg::retry_after(&reply.bytes) }
                     }
@@ -351,7 +351,7 @@
                     Ending::Error if reply.error.is_some() => HostReply::Error(reply.bytes),
                     _ => HostReply::Nothing,
                 };
-                self.tell_unshown(turn, exchange, member);
+                self.report_verified_positions(turn, exchange, member);
                 exchange.attempt_ended(
                     turn,
                     AttemptEnd { attempt: id, ending, note, reply: said, trace: *trace },
@@ -364,10 +364,10 @@
                 let report = reply.row.filter(|_| ending == Ending::Ok);
                 let host = self.hosts.get_mut(&member);
                 let report = report.zip(host).and_then(|(row, host)| {
-                    report_of(&row, &self.fields, |ms, primary| host.position(turn, ms, primary))
+                    parse_load_report(&row, &self.fields, |ms, primary| host.position(turn, ms, primary))
                 });
                 exchange.probe_ended(turn, Probed { member, ending, elapsed: turn.now - since, report });
-                self.tell_unshown(turn, exchange, member);
+                self.report_verified_positions(turn, exchange, member);
             }
         }
     }
--- a/crates/gradeshunt/src/backend/load_report.rs
+++ b/crates/gradeshunt/src/backend/load_report.rs
@@ -5,12 +5,12 @@
 /// Parses a load report, such as `x0=1767225600.123,x1=1`: a position in Unix seconds, and the role (1 for a
 /// primary). Returns `None` if any part is invalid. `position` converts a position in milliseconds, given the
 /// role, and returns `None` for one that is not plausible.
-pub(super) fn report_of(
+pub(super) fn parse_load_report(
     row: &[u8],
     fields: &[String],
     position: impl FnOnce(f64, Option<bool>) -> Option<Micros>,
 ) -> Option<Report> {
-    let (mut report, mut told) = (Report::default(), None);
+    let (mut report, mut position_ms) = (Report::default(), None);
     for pair in std::str::from_utf8(row).ok()?.split(',') {
         let (name, value) = pair.split_once('=')?;
         let name = name.trim();
@@ -19,14 +19,14 @@
         }
         let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite())?;
         match name {
-            "x0" => told = Some(value * 1000.0),
+            "x0" => position_ms = Some(value * 1000.0),
             "x1" => report.primary = Some(value == 1.0),
             "concurrent" => report.inflight = Some(value),
             "depth" => report.queue = Some(value),
             _ => {}
         }
     }
-    if let Some(ms) = told {
+    if let Some(ms) = position_ms {
         report.position = Some(position(ms, report.primary)?);
     }
     Some(report)
--- a/crates/gradeshunt/src/backend/opening.rs
+++ b/crates/gradeshunt/src/backend/opening.rs
@@ -14,16 +14,16 @@
 use crate::turn::Turn;
 
 /// Pause before a connect is retried that failed for lack of system resources.
-const CONNECT_PAUSE: Micros = 10_000;
+const CONNECT_RETRY_DELAY: Micros = 10_000;
 
 impl Backend {
     /// Opens a connection for the newest waiting job. Where the system temporarily lacks resources, the job
     /// keeps waiting: if its attempt failed at once, all further attempts would follow and fail before the
     /// shortage had passed.
     pub(super) fn open_for_waiting(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
-        match self.open_with_room(turn, member) {
+        match self.open_within_limit(turn, member) {
             Ok(()) => {}
-            Err(e) if is_transient(&e) => self.connect_later(turn, member, &e),
+            Err(e) if is_transient(&e) => self.schedule_connect_retry(turn, member, &e),
             Err(e) => {
                 warn!(turn.log, "cannot open a connection to a db host"; "error" => e.to_string());
                 self.end_latest_waiting(turn, exchange, member);
@@ -34,14 +34,14 @@
     /// Retries the connections that could not be opened for lack of system resources.
     pub fn connect_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         let Some(host) = self.hosts.get_mut(&member) else { return };
-        host.connect_at = None;
+        host.retry_connect_at = None;
         for _ in 0..host.waiting.len().saturating_sub(host.starting) {
             self.open_for_waiting(turn, exchange, member);
         }
     }
 
     /// Opens a connection, and first closes an idle one if the limit is reached.
-    fn open_with_room(&mut self, turn: &mut Turn, member: MemberId) -> io::Result<()> {
+    fn open_within_limit(&mut self, turn: &mut Turn, member: MemberId) -> io::Result<()> {
         if self.servers.len() >= self.max_connections && !self.close_oldest_idle(turn) {
             return Err(io::Error::other("too many connections"));
         }
@@ -52,14 +52,14 @@
         }
     }
 
-    fn connect_later(&mut self, turn: &mut Turn, member: MemberId, why: &io::Error) {
+    fn schedule_connect_retry(&mut self, turn: &mut Turn, member: MemberId, why: &io::Error) {
         let Some(host) = self.hosts.get_mut(&member) else { return };
-        if host.connect_at.is_some() {
+        if host.retry_connect_at.is_some() {
             return;
         }
         warn!(turn.log, "cannot open a connection to a db host"; "again" => true, "error" => why.to_string());
-        let at = turn.now + CONNECT_PAUSE;
-        host.connect_at = Some(at);
+        let at = turn.now + CONNECT_RETRY_DELAY;
+        host.retry_connect_at = Some(at);
         turn.deadlines.set(at, Due::Connect(member));
     }
 
--- a/crates/gradeshunt/src/backend/pool.rs
+++ b/crates/gradeshunt/src/backend/pool.rs
@@ -62,7 +62,7 @@
             Stage::Resetting | Stage::AwaitsClose { .. } => s.polled.abort(turn),
             _ => s.polled.close(turn),
         }
-        self.forget_if_gone(s.member);
+        self.remove_if_gone(s.member);
     }
 
     /// Takes a connection out of the pool and resets it.
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -7,8 +7,8 @@
 use super::connection::{HostConnection, Stage};
 use super::discard::Discarded;
 use super::jobs::Job;
-use super::reply::Shape;
-use super::sync_marker::{take_marked, Marked};
+use super::reply::ReplyProgress;
+use super::sync_marker::{handle_marker_message, MarkerStep};
 use super::Backend;
 use crate::deadlines::Due;
 use crate::exchange::{AnswerCheck, AnswerForm, ConnectionEnd, Exchange};
@@ -32,7 +32,7 @@
     /// that the client does not wait for what is not part of its answer. An answer that may be a duplicate
     /// does not count.
     fn await_ready(&mut self, turn: &mut Turn, id: ServerId) {
-        let is_doubtful = self.marker.is_some() || self.has_doubtful_answer();
+        let is_doubtful = self.marker.is_some() || self.may_hold_duplicate();
         if let Stage::Busy { reply, ready_by: ready_by @ None, .. } = &mut self.stage {
             if reply.ending().is_some() && !is_doubtful {
                 *ready_by = Some(turn.now + READY_GRACE);
@@ -43,7 +43,7 @@
 }
 
 impl Backend {
-    pub fn ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
+    pub fn handle_socket_ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         if let Err(why) = self.flush(turn, exchange, id) {
             return self.write_failed(turn, exchange, id, why);
         }
@@ -65,7 +65,7 @@
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
                 Err(e) => Some(e.to_string()),
             };
-            if let Err(Malformed(what)) = self.read(turn, exchange, id) {
+            if let Err(Malformed(what)) = self.handle_messages(turn, exchange, id) {
                 return self.answer_malformed(turn, exchange, id, what);
             }
             if let Some(why) = end {
@@ -80,14 +80,14 @@
     }
 
     /// Handles the complete messages that have arrived.
-    pub(super) fn read(
+    pub(super) fn handle_messages(
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
         id: ServerId,
     ) -> Result<(), Malformed> {
         loop {
-            if self.forward_part(turn, exchange, id) {
+            if self.pass_on_part(turn, exchange, id) {
                 continue;
             }
             let Some(s) = self.servers.get_mut(&id) else { return Ok(()) };
@@ -97,7 +97,7 @@
                 return Ok(());
             }
             if let Some(marker) = &mut s.marker {
-                if marker.discard(&mut s.inbound)? == Discarded::AllThatCame {
+                if marker.discard(&mut s.inbound)? == Discarded::NeedsMore {
                     return Ok(());
                 }
             }
@@ -105,16 +105,16 @@
                 if reply.is_full() {
                     return Ok(());
                 }
-                match reply.shape {
+                match reply.progress {
                     _ if reply.form == AnswerForm::Result => {}
-                    Shape::Described => {
+                    ReplyProgress::Described => {
                         if let Some(size) = pg::long_row(s.inbound.bytes())? {
-                            reply.shape = Shape::Passing(size);
+                            reply.progress = ReplyProgress::Streaming(size);
                             continue;
                         }
                     }
-                    Shape::Passing(_) => return Ok(()),
-                    Shape::Nothing | Shape::Row | Shape::Complete => {}
+                    ReplyProgress::Streaming(_) => return Ok(()),
+                    ReplyProgress::Nothing | ReplyProgress::Row | ReplyProgress::Complete => {}
                 }
             }
             let Some(message) = pg::message(s.inbound.bytes(), pg::BACKEND)? else {
@@ -126,16 +126,18 @@
                 return Ok(());
             };
             let (tag, size) = (message.tag, message.size);
-            let marked = take_marked(&mut s.marker, &mut s.stage, &message)?;
-            if marked != Marked::Other {
+            let marked = handle_marker_message(&mut s.marker, &mut s.stage, &message)?;
+            if marked != MarkerStep::NotForMarker {
                 s.inbound.consume(size);
                 match marked {
-                    Marked::Ended(found) => {
+                    MarkerStep::AnswerChecked(found) => {
                         exchange.record_answer_check(turn, s.member, found);
                         self.connection_ready(turn, exchange, id);
                     }
-                    Marked::Discarded => exchange.record_answer_check(turn, s.member, AnswerCheck::Duplicate),
-                    Marked::Taken | Marked::Other => {}
+                    MarkerStep::DuplicateDiscarded => {
+                        exchange.record_answer_check(turn, s.member, AnswerCheck::Duplicate)
+                    }
+                    MarkerStep::Handled | MarkerStep::NotForMarker => {}
                 }
                 continue;
             }
@@ -161,7 +163,7 @@
                     b'S' | b'N' => false,
                     _ => return Err(Malformed("unexpected message between requests")),
                 },
-                Stage::Busy { reply, .. } => reply.take(&message)?,
+                Stage::Busy { reply, .. } => reply.handle_message(&message)?,
             };
             s.inbound.consume(size);
             if up && s.must_hold_answer() {
@@ -174,7 +176,7 @@
 
     /// Passes on what has arrived of a long answer, as far as the frontend can take it. Returns whether some
     /// was passed on.
-    fn forward_part(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) -> bool {
+    fn pass_on_part(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) -> bool {
         let Some(s) = self.servers.get_mut(&id) else { return false };
         let host = self.hosts.get_mut(&s.member);
         let Stage::Busy { job: Job::Attempt { id: attempt, .. }, reply, .. } = &mut s.stage else {
@@ -182,7 +184,7 @@
         };
         if reply.form == AnswerForm::Result {
             // A result that may still fail as a whole is not passed on in parts.
-            if reply.error.is_some() || (reply.passed.is_none() && !reply.is_full()) {
+            if reply.error.is_some() || (reply.last_passed_on.is_none() && !reply.is_full()) {
                 return false;
             }
             let n = reply.bytes.len().min(exchange.answer_room(*attempt));
@@ -192,12 +194,12 @@
             let rest = reply.bytes.split_off(n);
             let part = std::mem::replace(&mut reply.bytes, rest);
             reply.held.set(reply.bytes.len());
-            reply.passed = Some(turn.now);
+            reply.last_passed_on = Some(turn.now);
             let note = host.and_then(|host| host.note(turn, reply));
             exchange.pass_on_part(turn, *attempt, part, note);
             return true;
         }
-        let Shape::Passing(left) = reply.shape else { return false };
+        let ReplyProgress::Streaming(left) = reply.progress else { return false };
         if s.inbound.is_empty() {
             return false;
         }
@@ -210,8 +212,8 @@
         reply.held.set(0);
         bytes.extend(&s.inbound.bytes()[..n]);
         s.inbound.consume(n);
-        reply.passed = Some(turn.now);
-        reply.shape = if n == left { Shape::Row } else { Shape::Passing(left - n) };
+        reply.last_passed_on = Some(turn.now);
+        reply.progress = if n == left { ReplyProgress::Row } else { ReplyProgress::Streaming(left - n) };
         let note = host.and_then(|host| host.note(turn, reply));
         exchange.pass_on_part(turn, *attempt, bytes, note);
         true
@@ -221,7 +223,7 @@
     /// connection waits for ReadyForQuery, unless the answer came before the whole request was sent. After an
     /// error the connection is closed, since another attempt may follow, and to the db host this one is out
     /// for as long as the connection is open.
-    pub(super) fn end_before_ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
+    pub(super) fn end_without_ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some((member, mut job, reply)) = self.take_job(id) else { return };
         // A duplicate is not this attempt's reply, and does not make the db host unhealthy.
         let ending = reply.ending().unwrap_or(Ending::Error);
--- a/crates/gradeshunt/src/backend/reply.rs
+++ b/crates/gradeshunt/src/backend/reply.rs
@@ -14,9 +14,9 @@
     pub(super) form: AnswerForm,
     pub(super) bytes: Vec<u8>,
     pub(super) held: Held,
-    pub(super) shape: Shape,
+    pub(super) progress: ReplyProgress,
     /// When bytes of a long answer were last passed on; `None` before the first.
-    pub(super) passed: Option<Micros>,
+    pub(super) last_passed_on: Option<Micros>,
     pub(super) error: Option<String>,
     pub(super) row: Option<Vec<u8>>,
     /// The reported position: Unix time in milliseconds.
@@ -24,24 +24,24 @@
     pub(super) primary: Option<bool>,
     /// Whether an answer has arrived that may be a duplicate of an earlier one, and none that is certainly
     /// the request's own.
-    pub(super) may_be_copy: bool,
+    pub(super) may_be_duplicate: bool,
 }
 
 /// How much of an answer has arrived. Messages in any other order are malformed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Shape {
+pub(super) enum ReplyProgress {
     #[default]
     Nothing,
     Described,
     /// A long row is being passed on; this many bytes of it are left.
-    Passing(usize),
+    Streaming(usize),
     Row,
     Complete,
 }
 
 impl Reply {
     /// Takes one message. Returns true at ReadyForQuery, which ends the reply.
-    pub(super) fn take(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
+    pub(super) fn handle_message(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
         if self.form == AnswerForm::Result {
             return self.take_result(message);
         }
@@ -58,20 +58,20 @@
                 self.bytes.clear();
                 self.append(message)?;
             }
-            b'T' if self.shape == Shape::Nothing => {
+            b'T' if self.progress == ReplyProgress::Nothing => {
                 pg::check_description(message.body)?;
-                self.shape = Shape::Described;
+                self.progress = ReplyProgress::Described;
                 self.append(message)?;
             }
-            b'D' if self.shape == Shape::Described => {
+            b'D' if self.progress == ReplyProgress::Described => {
                 pg::check_row(message.body)?;
                 self.row = pg::first_column(message.body).ok().map(<[u8]>::to_vec);
-                self.shape = Shape::Row;
+                self.progress = ReplyProgress::Row;
                 self.append(message)?;
             }
-            b'C' if self.shape == Shape::Row => {
+            b'C' if self.progress == ReplyProgress::Row => {
                 pg::string(message.body)?;
-                self.shape = Shape::Complete;
+                self.progress = ReplyProgress::Complete;
                 self.append(message)?;
             }
             _ => return Err(Malformed("not one row of one column")),
@@ -83,24 +83,24 @@
     /// meant for the client. Returns true at ReadyForQuery; only then is the result complete.
     fn take_result(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
         match message.tag {
-            b'Z' if self.shape != Shape::Row && self.error.is_none() => {
+            b'Z' if self.progress != ReplyProgress::Row && self.error.is_none() => {
                 return Err(Malformed("ReadyForQuery without an answer"))
             }
             // The next request on this connection would run inside that transaction.
             b'Z' if message.body != b"I" => return Err(Malformed("the request leaves a transaction open")),
             b'Z' => {
-                self.shape = Shape::Complete;
+                self.progress = ReplyProgress::Complete;
                 return Ok(true);
             }
             b'S' if self.take_status(message) => {}
             b'S' | b'N' => self.append(message)?,
             b'A' => {}
-            _ if self.error.is_some() || self.shape == Shape::Row => {
+            _ if self.error.is_some() || self.progress == ReplyProgress::Row => {
                 return Err(Malformed("more than one answer"))
             }
-            b'E' if self.passed.is_some() => {
+            b'E' if self.last_passed_on.is_some() => {
                 // The client already has some of its rows, so the error is passed on as part of the result.
-                self.shape = Shape::Row;
+                self.progress = ReplyProgress::Row;
                 self.append(message)?;
             }
             b'E' => {
@@ -108,13 +108,13 @@
                 self.bytes.clear();
                 self.append(message)?;
             }
-            b'T' if self.shape == Shape::Nothing => {
-                self.shape = Shape::Described;
+            b'T' if self.progress == ReplyProgress::Nothing => {
+                self.progress = ReplyProgress::Described;
                 self.append(message)?;
             }
-            b'D' if self.shape == Shape::Described => self.append(message)?,
+            b'D' if self.progress == ReplyProgress::Described => self.append(message)?,
             b'C' | b'I' => {
-                self.shape = Shape::Row;
+                self.progress = ReplyProgress::Row;
                 self.append(message)?;
             }
             _ => return Err(Malformed("not a valid result")),
@@ -124,7 +124,7 @@
 
     /// Whether nothing of an answer has arrived.
     pub(super) fn is_empty(&self) -> bool {
-        self.shape == Shape::Nothing && self.error.is_none()
+        self.progress == ReplyProgress::Nothing && self.error.is_none()
     }
 
     /// Whether more bytes of a result wait to be passed on than are kept of an answer.
@@ -157,14 +157,14 @@
     }
 
     /// The error code and the reported position; `None` if the reply is not an error or reports no position.
-    pub(super) fn told_error(&self) -> Option<(String, f64)> {
+    pub(super) fn error_with_position(&self) -> Option<(String, f64)> {
         self.error.clone().zip(self.position)
     }
 
     /// The ending of the attempt by what has arrived; `None` while the answer is incomplete.
     pub(super) fn ending(&self) -> Option<Ending> {
         match self.error.as_deref() {
-            None => (self.shape == Shape::Complete).then_some(Ending::Ok),
+            None => (self.progress == ReplyProgress::Complete).then_some(Ending::Ok),
             Some(sqlstate::READ_ONLY | sqlstate::SNAPSHOT_TOO_OLD) => Some(Ending::Miss),
             Some(sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW) => Some(Ending::Full),
             Some(_) => Some(Ending::Error),
--- a/crates/gradeshunt/src/backend/sync_marker.rs
+++ b/crates/gradeshunt/src/backend/sync_marker.rs
@@ -36,18 +36,18 @@
 /// An empty query that is not answered yet.
 #[derive(Debug)]
 pub(super) struct SyncMarker {
-    place: MarkerPlace,
+    position: MarkerPosition,
     /// EmptyQueryResponse has arrived; ReadyForQuery is still to come.
     answered: bool,
 }
 
 /// The position of an empty query among the requests of its connection.
 #[derive(Debug)]
-enum MarkerPlace {
+enum MarkerPosition {
     /// Before the next request: what arrives before the marker's answer belongs to no request.
     BeforeRequest(Discard),
     /// After an answer that may be a duplicate and is held back until the marker is answered.
-    BehindAnswer(Box<HeldAnswer>),
+    AfterAnswer(Box<HeldAnswer>),
 }
 
 /// An answer that may be a duplicate, and what arrives after it.
@@ -58,59 +58,59 @@
     /// The time until which that answer is held back.
     by: Micros,
     /// An answer that arrives before the marker's, which shows that the held answer was a duplicate.
-    before: Reply,
+    next_answer: Reply,
     /// Whether such an answer has arrived completely.
-    overtaken: bool,
+    is_duplicate: bool,
 }
 
 impl SyncMarker {
     /// A marker that precedes the next request.
     pub(super) fn before_request() -> SyncMarker {
-        SyncMarker { place: MarkerPlace::BeforeRequest(Discard::default()), answered: false }
+        SyncMarker { position: MarkerPosition::BeforeRequest(Discard::default()), answered: false }
     }
 
     /// Discards what belongs to no request.
     pub(super) fn discard(&mut self, inbound: &mut Ring) -> Result<Discarded, Malformed> {
-        match &mut self.place {
-            MarkerPlace::BeforeRequest(discard) if !self.answered => discard.take(inbound),
+        match &mut self.position {
+            MarkerPosition::BeforeRequest(discard) if !self.answered => discard.take(inbound),
             _ => Ok(Discarded::UpToMarker),
         }
     }
 
     /// The time until which a held answer waits for this marker.
-    fn holds_until(&self) -> Option<Micros> {
-        match &self.place {
-            MarkerPlace::BehindAnswer(held) => Some(held.by),
-            MarkerPlace::BeforeRequest(_) => None,
+    fn held_until(&self) -> Option<Micros> {
+        match &self.position {
+            MarkerPosition::AfterAnswer(held) => Some(held.by),
+            MarkerPosition::BeforeRequest(_) => None,
         }
     }
 
     /// Stops holding an answer back and returns it. What arrives before the marker's answer is discarded from
     /// now on.
-    fn give_up_held(&mut self) -> Option<Reply> {
-        let place = MarkerPlace::BeforeRequest(Discard::default());
-        match std::mem::replace(&mut self.place, place) {
-            MarkerPlace::BehindAnswer(held) => Some(held.held),
-            MarkerPlace::BeforeRequest(_) => None,
+    fn release_held(&mut self) -> Option<Reply> {
+        let position = MarkerPosition::BeforeRequest(Discard::default());
+        match std::mem::replace(&mut self.position, position) {
+            MarkerPosition::AfterAnswer(held) => Some(held.held),
+            MarkerPosition::BeforeRequest(_) => None,
         }
     }
 }
 
 impl HeldAnswer {
     /// Takes a message that arrives before the marker's answer. One such answer is the request's own.
-    fn take_before(&mut self, message: &Message) -> Result<(), Malformed> {
-        if self.overtaken {
+    fn handle_next_answer(&mut self, message: &Message) -> Result<(), Malformed> {
+        if self.is_duplicate {
             return match message.tag {
                 b'S' | b'N' | b'A' => Ok(()),
                 _ => Err(Malformed("more answers than requests")),
             };
         }
-        if self.before.is_full() {
+        if self.next_answer.is_full() {
             return Err(Malformed("a long answer instead of the answer to an empty query"));
         }
-        if self.before.take(message)? {
-            self.overtaken = true;
-            self.held = std::mem::take(&mut self.before);
+        if self.next_answer.handle_message(message)? {
+            self.is_duplicate = true;
+            self.held = std::mem::take(&mut self.next_answer);
         }
         Ok(())
     }
@@ -118,21 +118,21 @@
 
 /// The meaning of a message on a connection that may have a marker out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Marked {
+pub(super) enum MarkerStep {
     /// It belongs to the marker or to the held answer; nothing further is to be done.
-    Taken,
+    Handled,
     /// The end of a marker before a request; a duplicate of an earlier answer was discarded before it.
-    Discarded,
+    DuplicateDiscarded,
     /// The end of a marker after a held answer: the request has its own answer now.
-    Ended(AnswerCheck),
+    AnswerChecked(AnswerCheck),
     /// No marker is out.
-    Other,
+    NotForMarker,
 }
 
 /// A digest that identifies an answer; `None` while the answer is incomplete, or if some of it was already
 /// passed on.
-fn digest(reply: &Reply) -> Option<u64> {
-    if reply.ending().is_none() || reply.passed.is_some() {
+fn answer_digest(reply: &Reply) -> Option<u64> {
+    if reply.ending().is_none() || reply.last_passed_on.is_some() {
         return None;
     }
     let mut hasher = DefaultHasher::new();
@@ -146,28 +146,28 @@
     /// before its ReadyForQuery. Excluded are errors that report a position, which `repeats_error` checks
     /// once they are complete, and other refusals, which are too frequent.
     pub(super) fn may_be_copy(&self, reply: &Reply) -> bool {
-        let is_looked_into = match reply.ending() {
+        let is_checked = match reply.ending() {
             Some(Ending::Ok) => true,
-            Some(Ending::Error) => reply.told_error().is_none(),
+            Some(Ending::Error) => reply.error_with_position().is_none(),
             _ => false,
         };
-        is_looked_into && digest(reply).is_some_and(|digest| self.answers.contains(&digest))
+        is_checked && answer_digest(reply).is_some_and(|digest| self.answers.contains(&digest))
     }
 
     /// Whether the current answer may be a duplicate.
-    pub(super) fn has_doubtful_answer(&self) -> bool {
+    pub(super) fn may_hold_duplicate(&self) -> bool {
         matches!(&self.stage, Stage::Busy { reply, .. } if self.may_be_copy(reply))
     }
 
     /// Whether the complete answer is to be held back for a marker.
     pub(super) fn must_hold_answer(&self) -> bool {
         let repeats_error = matches!(&self.stage, Stage::Busy { reply, .. } if self.repeats_error(reply));
-        repeats_error || self.has_doubtful_answer()
+        repeats_error || self.may_hold_duplicate()
     }
 
     /// Remembers an answer, so that a duplicate that arrives after other answers is recognized.
     pub(super) fn remember_answer(&mut self, reply: &Reply) {
-        self.answers.extend(digest(reply));
+        self.answers.extend(answer_digest(reply));
         if self.answers.len() > ANSWERS_KEPT {
             self.answers.pop_front();
         }
@@ -193,39 +193,43 @@
 }
 
 /// Handles a message on a connection that may have a marker out.
-pub(super) fn take_marked(
+pub(super) fn handle_marker_message(
     marker: &mut Option<SyncMarker>,
     stage: &mut Stage,
     message: &Message,
-) -> Result<Marked, Malformed> {
-    let Some(SyncMarker { place, answered }) = marker else { return Ok(Marked::Other) };
-    match (message.tag, place) {
+) -> Result<MarkerStep, Malformed> {
+    let Some(SyncMarker { position, answered }) = marker else {
+        return Ok(MarkerStep::NotForMarker);
+    };
+    match (message.tag, position) {
         (b'Z', _) if *answered => return Ok(end_marker(marker, stage)),
         // The db host may send status messages, as after any answer.
         (b'S' | b'N' | b'A', _) if *answered => {}
         (_, _) if *answered => {
             return Err(Malformed("unexpected message after the answer to an empty query"))
         }
-        (b'I', MarkerPlace::BeforeRequest(_)) => *answered = true,
-        (b'I', MarkerPlace::BehindAnswer(held)) if held.before.is_empty() => *answered = true,
-        (_, MarkerPlace::BehindAnswer(held)) => held.take_before(message)?,
-        (_, MarkerPlace::BeforeRequest(_)) => {
+        (b'I', MarkerPosition::BeforeRequest(_)) => *answered = true,
+        (b'I', MarkerPosition::AfterAnswer(held)) if held.next_answer.is_empty() => *answered = true,
+        (_, MarkerPosition::AfterAnswer(held)) => held.handle_next_answer(message)?,
+        (_, MarkerPosition::BeforeRequest(_)) => {
             return Err(Malformed("the answer to an empty query is missing"))
         }
     }
-    Ok(Marked::Taken)
+    Ok(MarkerStep::Handled)
 }
 
 /// Handles the end of a marker's answer.
-fn end_marker(marker: &mut Option<SyncMarker>, stage: &mut Stage) -> Marked {
-    match (marker.take().map(|marker| marker.place), stage) {
-        (Some(MarkerPlace::BehindAnswer(held)), Stage::Busy { reply, .. }) => {
-            let found = if held.overtaken { AnswerCheck::Duplicate } else { AnswerCheck::Own };
+fn end_marker(marker: &mut Option<SyncMarker>, stage: &mut Stage) -> MarkerStep {
+    match (marker.take().map(|marker| marker.position), stage) {
+        (Some(MarkerPosition::AfterAnswer(held)), Stage::Busy { reply, .. }) => {
+            let found = if held.is_duplicate { AnswerCheck::Duplicate } else { AnswerCheck::Own };
             *reply = held.held;
-            Marked::Ended(found)
+            MarkerStep::AnswerChecked(found)
         }
-        (Some(MarkerPlace::BeforeRequest(discard)), _) if discard.has_answer() => Marked::Discarded,
-        _ => Marked::Taken,
+        (Some(MarkerPosition::BeforeRequest(discard)), _) if discard.has_answer() => {
+            MarkerStep::DuplicateDiscarded
+        }
+        _ => MarkerStep::Handled,
     }
 }
 
@@ -240,17 +244,17 @@
             return self.answer_malformed(turn, exchange, id, "an answer before its request was written");
         }
         let fresh = || Reply { form: reply.form, ..Reply::default() };
-        let (before, next) = (fresh(), fresh());
+        let (next_answer, empty) = (fresh(), fresh());
         let is_probe = matches!(job, Job::Probe { .. });
         *ready_by = None;
         let by = turn.now + MARKER_TIMEOUT;
-        let place = if is_probe {
-            MarkerPlace::BeforeRequest(Discard::default())
+        let position = if is_probe {
+            MarkerPosition::BeforeRequest(Discard::default())
         } else {
-            let held = std::mem::replace(reply, next);
-            MarkerPlace::BehindAnswer(Box::new(HeldAnswer { held, by, before, overtaken: false }))
+            let held = std::mem::replace(reply, empty);
+            MarkerPosition::AfterAnswer(Box::new(HeldAnswer { held, by, next_answer, is_duplicate: false }))
         };
-        s.marker = Some(SyncMarker { place, answered: false });
+        s.marker = Some(SyncMarker { position, answered: false });
         debug!(turn.log, "answer held back: it may duplicate an earlier one"; "member" => s.member.0);
         turn.deadlines.set(by, Due::Server(id));
         let pushed = s.outbound.push(&Writer::default().query(&[b""]).0);
@@ -269,7 +273,7 @@
     /// Whether the time for which an answer is held back has passed.
     pub(super) fn is_marker_due(&self, now: Micros, id: ServerId) -> bool {
         let marker = self.servers.get(&id).and_then(|s| s.marker.as_ref());
-        marker.and_then(SyncMarker::holds_until).is_some_and(|by| by <= now)
+        marker.and_then(SyncMarker::held_until).is_some_and(|by| by <= now)
     }
 
     /// The marker was not answered in time. A value that may belong to another request is not served. Its
@@ -280,15 +284,15 @@
         let Some(s) = self.servers.get_mut(&id) else { return };
         let (member, by) = (s.member, turn.now);
         exchange.record_answer_check(turn, member, AnswerCheck::Unknown);
-        let held = s.marker.as_mut().and_then(SyncMarker::give_up_held);
+        let held = s.marker.as_mut().and_then(SyncMarker::release_held);
         if held.is_some_and(|reply| reply.error.is_some()) {
-            return self.answer_copied(turn, exchange, id);
+            return self.handle_copied_error(turn, exchange, id);
         }
         let Stage::Busy { mut job, .. } = std::mem::replace(&mut s.stage, Stage::AwaitsReady { by }) else {
             return;
         };
         job.set_connection_end(ConnectionEnd::AwaitsReady);
-        let reply = Reply { may_be_copy: true, ..Reply::default() };
+        let reply = Reply { may_be_duplicate: true, ..Reply::default() };
         self.end_job(turn, exchange, member, job, Ending::Error, reply);
         self.connection_ready(turn, exchange, id);
     }
--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -109,7 +109,7 @@
         let host = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
         let addr = host.local_addr().expect("no local address");
         let listed = Listed { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
-        backend.list(&mut turn, &mut exchange, ListKind::Full, &[listed]);
+        backend.apply_list(&mut turn, &mut exchange, ListKind::Full, &[listed]);
         Play { backend, exchange, turn, host, _poll: poll }
     }
 
@@ -118,7 +118,7 @@
         while !done(&self.backend) {
             let servers: Vec<_> = self.backend.servers.keys().copied().collect();
             for id in servers {
-                self.backend.ready(&mut self.turn, &mut self.exchange, id);
+                self.backend.handle_socket_ready(&mut self.turn, &mut self.exchange, id);
             }
         }
     }
@@ -200,7 +200,7 @@
     // A job is out on the connection, so that the change of address does not close it.
     play.backend.execute(&mut play.turn, &mut play.exchange, BackendCommand::Probe(MEMBER));
     let listed = Listed { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
-    play.backend.list(&mut play.turn, &mut play.exchange, ListKind::Full, &[listed]);
+    play.backend.apply_list(&mut play.turn, &mut play.exchange, ListKind::Full, &[listed]);
     assert_eq!(play.backend.servers.len(), 1);
     server.write_all(&[empty_query_answer(), report()].concat()).expect("the connection is closed");
     play.until(|backend| backend.probes.is_empty());
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -210,11 +210,11 @@
     fn list(&mut self, list: &List) {
         let Core { turn, exchange, .. } = &mut self.core;
         self.frontend.has_hosts |= list.entries() > 0;
-        self.backend.list(turn, exchange, list.kind, &list.listed);
+        self.backend.apply_list(turn, exchange, list.kind, &list.listed);
         // The ban on a name outlasts whatever the list says of it.
         for l in list.listed.iter().filter(|l| self.shared.is_held_out(&l.id)) {
             exchange.set_held_out(turn, l.member, true);
-            self.backend.maintain(turn, exchange, l.member, true);
+            self.backend.set_held_out(turn, exchange, l.member, true);
         }
         let lost = |l: &&backend::Listed| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
         for member in list.listed.iter().filter(lost).map(|l| l.member).collect::<Vec<_>>() {
@@ -249,7 +249,7 @@
             Source::Listener => self.frontend.accept(turn),
             Source::PeerListener => self.frontend.accept_peers(turn),
             Source::Session(id) => self.frontend.ready(turn, exchange, id),
-            Source::Server(id) => self.backend.ready(turn, exchange, id),
+            Source::Server(id) => self.backend.handle_socket_ready(turn, exchange, id),
             Source::Call(_) => {}
             Source::Control => self.control.iter_mut().for_each(|c| c.accept(turn)),
             Source::Caller(id) => self.call(id),
--- a/crates/gradeshunt/src/proxy/operators.rs
+++ b/crates/gradeshunt/src/proxy/operators.rs
@@ -76,6 +76,6 @@
         // Its site may be out as well.
         let lost = self.core.exchange.sites.as_ref().is_some_and(|s| s.is_out(member));
         self.core.exchange.set_held_out(&mut self.core.turn, member, out || lost);
-        self.backend.maintain(&mut self.core.turn, &mut self.core.exchange, member, out);
+        self.backend.set_held_out(&mut self.core.turn, &mut self.core.exchange, member, out);
     }
 }
