--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -1,4 +1,4 @@
-//! The client side: the listener and the clients' sessions.
+//! The client side: the listeners and the sessions of clients and of other proxies.
 
 mod answers;
 mod closing;
@@ -28,34 +28,37 @@
 use crate::routing::{Router, Rules};
 use crate::turn::{Polled, Turn};
 
-/// No further request is begun while this much of earlier answers is unread: the ring has room for one more.
+/// No further request of a session starts while its client has left more than this many bytes of answers
+/// unread, so that the output ring always has room for one more answer.
 const UNREAD_LIMIT: usize = LARGEST - LONGEST_ANSWER - 1024;
-/// A final answer has to fit behind what is unread: one of a value, at most [`UNREAD_LIMIT`]; the rest of a whole result, of which
-/// no more is held than this, too.
+// A final answer always fits into the output ring behind the bytes that the client has not read yet. Those
+// are at most `UNREAD_LIMIT` when a request starts; of a streamed result, at most `ROOM` and one whole row
+// are buffered.
 const _: () = assert!(UNREAD_LIMIT + LONGEST_ANSWER < LARGEST && ROOM + WHOLE_ROW + LONGEST_ANSWER < LARGEST);
 
-/// Who waits for a request, and its id.
+/// The session that waits for a request's answer, and the request's id as the client gave it.
 struct Owner {
     session: SessionId,
     id: Rc<str>,
 }
 
-/// Whom the proxy serves.
+/// Whether the proxy serves clients or drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Service {
     Running,
-    /// Operators drain it: clients are served, and closed between requests.
+    /// An operator drains the proxy: requests are still served, and clients are closed between requests.
     Standby,
-    /// After SIGTERM likewise, and for good.
+    /// The proxy drains after SIGTERM; it does not return to another state.
     Closing,
 }
 
 /// The client side.
 pub struct Frontend {
     listener: Option<Polled<TcpListener>>,
-    /// Since when connections may stand in the backlog that could not be accepted, of clients and of other proxies.
+    /// The time since which connections may have waited in the listen backlog because accepting them failed:
+    /// of clients [0] and of other proxies [1].
     backlog_since: [Option<Micros>; 2],
-    /// Where other proxies connect, and the names of those that may.
+    /// The listener for other proxies, and the names of the proxies that may connect to it.
     peer_listener: Option<Polled<TcpListener>>,
     peer_names: BTreeSet<String>,
     settings: Settings,
@@ -64,28 +67,28 @@
     most_memory: usize,
     sessions: BTreeMap<SessionId, Session>,
     owners: HashMap<RequestId, Owner>,
-    /// What the secrets of cancel requests are made from.
+    /// Hashes session ids into the secret keys that cancel requests must present.
     secrets: RandomState,
-    /// The ids of open requests, as clients gave them.
+    /// The ids of requests in progress, as clients gave them.
     ids: HashSet<Rc<str>>,
     next: u64,
     service: Service,
-    /// After SIGTERM: until when all that is still taken has its answer.
+    /// After SIGTERM: the time by which every accepted request is answered.
     drain_deadline: Option<Micros>,
-    /// Clients closed to make room since the last summary, by how readily.
+    /// Clients closed to make room since the last summary, counted by eviction rank.
     evicted: [u32; 6],
-    /// Clients closed from here since the start, by reason.
+    /// Client connections that the proxy closed since its start, by reason.
     pub closes: BTreeMap<&'static str, u64>,
-    /// Whether the proxy knows of db hosts at all.
+    /// Whether the proxy has a list of db hosts yet.
     pub has_hosts: bool,
-    /// Routes of plain statements, where the operators' file gives some.
+    /// Routes statements without a routing comment; `None` if no rules file is configured.
     router: Option<Router>,
-    /// Plain statements so far: each has a name of its own.
+    /// Number of plain statements so far, from which each gets a unique id.
     plain: u64,
 }
 
 impl Frontend {
-    /// A client side that has yet to be opened.
+    /// Creates a client side without listeners; [`Frontend::open`] adds the clients' listener.
     pub fn new(settings: Settings, names: Names) -> Self {
         Frontend {
             listener: None,
@@ -111,36 +114,38 @@
         }
     }
 
-    /// Plain statements are routed by these rules from now on, or refused where there are none.
+    /// Replaces the rules that route plain statements; without rules, plain statements are refused.
     pub fn route_by(&mut self, rules: Option<Rules>) {
         use std::hash::BuildHasher;
         let secret = || RandomState::new().hash_one(0_u8);
         self.router = rules.map(|rules| Router::new(rules, Key(secret(), secret())));
     }
 
-    /// How plain statements fare, as text.
+    /// Returns the counters of plain statements in the text exposition format, or `None` without rules.
     pub fn exposition(&self) -> Option<String> {
         self.router.as_ref().map(Router::exposition)
     }
 
-    /// Holds `most` clients at most; none gets more memory once `most_memory` is held.
+    /// Sets the maximum number of clients, and the number of buffered bytes in the process from which on no
+    /// client may buffer a large request.
     pub fn limit(&mut self, turn: &mut Turn, most: usize, most_memory: usize) {
         (self.most, self.most_memory) = (most, most_memory);
-        // Another process has the rest from now on.
+        // During an upgrade the limit shrinks because another process takes the rest of it.
         while self.sessions.len() > most && self.evict_one(turn) {}
     }
 
-    /// After SIGTERM no request is held beyond `at`: whoever told us to end may kill us soon after.
+    /// Bounds the deadline of every request by `at`. After SIGTERM the platform kills the process when its
+    /// grace period ends, so no request may be held longer.
     pub fn set_drain_deadline(&mut self, at: Micros) {
         self.drain_deadline = Some(at);
     }
 
-    /// Whether clients are accepted, or may be again.
+    /// Whether clients are accepted, or may be accepted again later.
     pub fn serves(&self) -> bool {
         self.service != Service::Closing || self.listener.is_some() || self.peer_listener.is_some()
     }
 
-    /// Whether clients are connected.
+    /// Whether any client or other proxy is connected.
     pub fn has_clients(&self) -> bool {
         !self.sessions.is_empty()
     }
--- a/crates/gradeshunt/src/frontend/answers.rs
+++ b/crates/gradeshunt/src/frontend/answers.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to clients, long ones in parts.
+//! Delivers answers to clients; long answers are streamed in parts.
 
 use leadmast::invariant::Rule;
 use leadmast::RequestId;
@@ -12,7 +12,7 @@
 use crate::turn::Turn;
 
 impl Frontend {
-    /// A part of a long answer.
+    /// Passes one part of a long answer on to the client.
     pub fn part(&mut self, turn: &mut Turn, exchange: &mut Exchange, request: RequestId, bytes: &[u8]) {
         let Some(id) = self.owners.get(&request).map(|o| o.session) else { return };
         let Some(s) = self.sessions.get_mut(&id) else { return };
@@ -23,19 +23,21 @@
         self.report_unread(exchange, id, bytes.len());
     }
 
-    /// Lets the server side go on with a long answer as far as there is room for it here.
+    /// Reports the number of bytes that the client has not read yet, so that the server side continues a long
+    /// answer only while there is room for it.
     pub(super) fn report_unread(&self, exchange: &mut Exchange, id: SessionId, got: usize) {
         if let Some(Session { stage: Stage::Waiting(request), outbound, .. }) = self.sessions.get(&id) {
             exchange.unread(*request, got, outbound.len());
         }
     }
 
-    /// The final answer of a request.
+    /// Writes the final answer of a request and makes the session ready for its next request.
     pub fn answer(&mut self, turn: &mut Turn, exchange: &mut Exchange, request: RequestId, answer: Final) {
         let Some(id) = self.release_request(request) else { return };
         let Some(s) = self.sessions.get_mut(&id) else { return };
         (s.stage, s.since) = (Stage::Ready, turn.now);
-        // What was committed was so by now; one that failed may have run as well.
+        // A write has committed by now if it did at all; one that failed counts too, because it may have
+        // executed.
         if std::mem::take(&mut s.writing) {
             s.wrote = Some(turn.now);
         }
@@ -51,7 +53,7 @@
                     after.as_deref(),
                 )
             }
-            // An error would pass for bytes of the value that was cut.
+            // The client would read an error message as bytes of the truncated value.
             Final::Broken => return self.close_with(turn, id, w, CloseReason::ValueCut),
             Final::Cancelled => {
                 w.error("ERROR", sqlstate::QUERY_CANCELED, "canceling statement due to user request", None)
@@ -63,18 +65,18 @@
         };
         let fits = s.outbound.push(&w.ready().0);
         if !fits {
-            // The client has not read its earlier answers; nothing whole can follow them. The assertion at the ring's limits says
-            // that this can't be.
+            // The client has not read its earlier answers, and no complete message fits behind them. The
+            // assertion at `UNREAD_LIMIT` rules this out.
             exchange.violated(turn, Rule::ClosedUnanswered, None);
             return self.close(turn, id);
         }
-        // Before anything else is read: a client that takes its leave right behind its request gets its answer.
+        // Flush before reading: a client that sends Terminate right behind its request still gets its answer.
         self.flush(turn, id);
-        // What the client sent meanwhile may still stand unread in its socket.
+        // Bytes that the client sent in the meantime may still be unread in the socket.
         self.ready(turn, exchange, id);
     }
 
-    /// A request is over: nobody waits for it, and its id is free.
+    /// Forgets a finished request and frees its id; returns the session that waited for it.
     pub(super) fn release_request(&mut self, request: RequestId) -> Option<SessionId> {
         let owner = self.owners.remove(&request)?;
         self.ids.remove(&owner.id);
--- a/crates/gradeshunt/src/frontend/closing.rs
+++ b/crates/gradeshunt/src/frontend/closing.rs
@@ -1,4 +1,4 @@
-//! Why clients' connections are closed from here, and whether they may be.
+//! The reasons for which the proxy closes client connections, and the facts that decide whether it may.
 
 use leadmast::invariant::Rule;
 use leadmast::permission::{ClientFacts, ClientStage};
@@ -10,43 +10,45 @@
 use crate::ids::SessionId;
 use crate::turn::Turn;
 
-/// Why a client's connection is closed from here.
+/// Why the proxy closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum CloseReason {
-    /// It has been idle among many.
+    /// The client has been idle while many clients are connected.
     Idle,
     /// The proxy drains.
     Draining,
-    /// It makes room for another.
+    /// The client makes room for a new one.
     Room,
-    /// There was no room for it.
+    /// The proxy has its maximum number of clients, and none could be closed for this one.
     Full,
-    /// Too much stands in buffers.
+    /// The process holds too many bytes in buffers.
     Memory,
-    /// It took too long over a message.
+    /// The client took too long to send a whole message.
     Slow,
-    /// It has sent what is not the protocol.
+    /// The client violated the protocol.
     Protocol,
-    /// It asks for what is not served.
+    /// The client asks for a protocol version that is not supported.
     Unsupported,
-    /// It is not one of the proxies that may connect.
+    /// The client connected to the listener for other proxies and is none of them.
     Stranger,
-    /// It has asked another request to be cancelled, which is all that such a connection does.
+    /// The connection carried a cancel request, after which it always closes.
     CancelRequest,
-    /// It has taken its leave.
+    /// The client sent Terminate.
     Goodbye,
-    /// The value that it was getting has broken off.
+    /// The db host's connection broke in the middle of a value that was already being passed on.
     ValueCut,
 }
 
 impl CloseReason {
-    /// Whether a request may cross the close, which is answered if it is read. Whoever is closed for what it has sent may still be
-    /// sending, and is read until it has had the error that says why.
+    /// Whether bytes that arrive after the close stay unread. An idle or drained client may send a request at
+    /// the same time as the proxy closes; a request that was never read may safely be sent again elsewhere. A
+    /// client that is closed because of what it sent may still be sending; its bytes are read and discarded,
+    /// so that the error message that explains the close is not lost to a reset.
     pub(super) fn leaves_unread(self) -> bool {
         matches!(self, CloseReason::Idle | CloseReason::Draining)
     }
 
-    /// Its name in the log and the figures.
+    /// The reason's name in the log and in metrics.
     pub(super) fn name(self) -> &'static str {
         match self {
             CloseReason::Idle => "idle",
@@ -66,7 +68,8 @@
 }
 
 impl Session {
-    /// What is known of it when it is to be closed. `may_ask_yet`: its first request may be on its way, and is waited for.
+    /// Returns the facts that decide whether the session may be closed. `may_ask_yet` says that its first
+    /// request may still be in transit and is waited for.
     pub(super) fn close_facts(&self, may_ask_yet: bool) -> ClientFacts {
         let stage = match self.stage {
             Stage::Startup | Stage::Ready if !self.asked => ClientStage::New,
@@ -86,13 +89,14 @@
 }
 
 impl Frontend {
-    /// A client's connection is closed from here.
+    /// Counts and logs that the proxy closes a client's connection.
     pub(super) fn note_close(&mut self, turn: &Turn, id: SessionId, reason: CloseReason) {
         *self.closes.entry(reason.name()).or_default() += 1;
         debug!(turn.log, "client closed"; "why" => reason.name(), "session" => id.0);
     }
 
-    /// A connection ends with a request out: only its client may have brought that about.
+    /// Records a violation if a session closes while its request is in progress, unless the client ended the
+    /// connection.
     pub(super) fn audit_abandoned(&self, turn: &Turn, exchange: &mut Exchange, id: SessionId) {
         let abandoned =
             self.sessions.get(&id).is_some_and(|s| matches!(s.stage, Stage::Waiting(_)) && !s.ended);
--- a/crates/gradeshunt/src/frontend/eviction.rs
+++ b/crates/gradeshunt/src/frontend/eviction.rs
@@ -1,4 +1,5 @@
-//! Which clients are closed between requests: to make room, when idle among many, or because the proxy stops.
+//! Chooses the clients that are closed between requests: to make room, because they are idle among many, or
+//! because the proxy drains.
 
 use leadmast::permission::{may_close, ClientFacts};
 use leadmast::Micros;
@@ -14,23 +15,24 @@
 use crate::pg::Writer;
 use crate::turn::Turn;
 
-/// How long a slow client may take over its first request.
+/// How long a client may take to send its first request before it is among the first to be evicted.
 pub(super) const SLOW_CLIENT: Micros = 2_100_000;
-/// A client that connected, or had its answer, less than this ago is evicted last.
+/// A client that connected or received its answer less than this long ago is evicted last.
 pub(super) const RECENT: Micros = 50_000;
-/// A client that has started its session and not asked yet is evicted late until it is this old.
+/// A client whose session has started but that has sent no request is evicted last until it has been
+/// connected this long.
 const NEW_CLIENT: Micros = 500_000;
-/// A client that has been without a request for this long expects to be closed.
+/// A client that has been idle this long is closed while more than an eighth of the maximum are open.
 const IDLE_LIMIT: Micros = 2_000_000;
-/// Interval between searches for idle clients.
+/// Interval between scans for idle clients.
 const REAP_INTERVAL: Micros = 50_000;
-/// How long a client may be idle while many are open.
+/// How long a client may be idle while more than two fifths of the maximum are open.
 const CROWDED_IDLE_LIMIT: Micros = 100_000;
-/// How long a new client may take over its first request while the proxy drains.
+/// How long a draining proxy waits for the first request of a new client.
 const FIRST_REQUEST_GRACE: Micros = 2_300_000;
 
 impl Frontend {
-    /// Begins to close clients between requests, or serves them on.
+    /// Enters or leaves standby; in standby, clients are closed between requests.
     pub fn set_standby(&mut self, turn: &mut Turn, exchange: &mut Exchange, standby: bool) {
         match self.service {
             Service::Closing => {}
@@ -39,6 +41,7 @@
         }
     }
 
+    /// Enters a draining state and closes every client that is between requests.
     pub(super) fn drain(&mut self, turn: &mut Turn, exchange: &mut Exchange, service: Service) {
         self.service = service;
         for id in self.sessions.keys().copied().collect::<Vec<_>>() {
@@ -46,8 +49,8 @@
         }
     }
 
-    /// While the proxy drains, closes a client once it is quiet: nothing unread, nothing unanswered. One that has yet
-    /// to ask gets its time; its request is on its way, as a rule.
+    /// While the proxy drains, closes a client that has nothing unread and nothing unanswered. A client that
+    /// has sent no request yet is given [`FIRST_REQUEST_GRACE`], because its request is usually in transit.
     pub(super) fn close_if_draining(&mut self, turn: &mut Turn, id: SessionId) {
         let Some(s) = self.sessions.get(&id) else { return };
         if self.service == Service::Running || s.is_ending() {
@@ -55,23 +58,23 @@
         }
         let fresh =
             turn.now - s.since <= FIRST_REQUEST_GRACE && self.drain_deadline.is_none_or(|at| turn.now < at);
-        // Another proxy sends what crosses the close elsewhere.
+        // No grace for other proxies: they resend a request that crosses the close to another proxy.
         if may_close(&s.close_facts(fresh && !s.is_peer())).is_ok() {
             let last = if s.is_peer() { leaving() } else { Writer::default() };
             self.close_with(turn, id, last, CloseReason::Draining);
         }
     }
 
-    /// Sums up in the log who was closed to make room.
+    /// Logs how many clients were closed to make room since the last summary, by kind.
     pub fn log_summary(&mut self, turn: &Turn) {
         let [closing, mute, idle, slow, fresh, between] = std::mem::take(&mut self.evicted);
         info!(turn.log, "clients"; "open" => self.sessions.len(), "closing" => closing, "mute" => mute,
             "idle" => idle, "slow" => slow, "between" => between, "new" => fresh);
     }
 
-    /// Closes clients that have had their answers and keep their connection for good, or that connect and say
-    /// nothing. Together they would hold all that clients may hold, and nobody else's request would get through. Where few are open, as with a
-    /// person at a prompt, none is closed.
+    /// Closes clients that stay connected without sending requests, or that connect and send nothing.
+    /// Together they could use up all connections, and no other client's request would get through. While few
+    /// clients are open, none is closed, so that a person at a prompt keeps the connection.
     pub fn reap(&mut self, turn: &mut Turn) {
         turn.deadlines.set(turn.now + REAP_INTERVAL, Due::Reap);
         if self.service != Service::Running {
@@ -87,9 +90,10 @@
         if open <= self.most / 8 {
             return;
         }
-        // One at a time beyond so many, the longest idle first: a close may cross a request.
+        // Closes only as many as are open beyond two fifths of the maximum, the longest idle first, because
+        // the client may send a request at the same moment.
         let excess = open.saturating_sub(self.most * 2 / 5);
-        // The fuller, the sooner: their clients, too, have only so many connections.
+        // The fuller the proxy, the sooner idle clients are closed.
         let idle_limit = if open > self.most * 3 / 5 { RECENT } else { CROWDED_IDLE_LIMIT };
         let idle = self.sessions.iter().filter_map(|(id, s)| {
             let limit = match s.stage {
@@ -106,15 +110,17 @@
         let idle = idle.into_iter().enumerate().filter(|(n, (since, _))| over(*n, *since));
         for (_, (_, id)) in idle.collect::<Vec<_>>() {
             self.evicted[2] += 1;
-            // A request may be on its way: closed at once, the connection would be reset, and the last answer with it.
+            // A request may be in transit. An immediate close would reset the connection and could lose the
+            // last answer.
             self.close_with(turn, id, Writer::default(), CloseReason::Idle);
         }
     }
 
-    /// Closes the client with the lowest [`eviction_rank`], the oldest of equals; false where none may be closed.
+    /// Closes the client with the lowest [`eviction_rank`], of equal ranks the one longest unused. Returns
+    /// false if no client may be closed.
     pub(super) fn evict_one(&mut self, turn: &mut Turn) -> bool {
         let rank = |s: &Session| {
-            // Whoever keeps a connection to a home needs it all the time.
+            // Other proxies use their connections to a home all the time.
             if s.is_peer() && !matches!(s.stage, Stage::Lingering) {
                 return None;
             }
@@ -124,7 +130,7 @@
         let idle = self.sessions.iter().filter_map(|(id, s)| Some((rank(s)?, s.since, *id)));
         let mut idle: Vec<_> = idle.collect();
         idle.sort();
-        // A request may stand unread in the socket: it counts as taken. A first message that is not whole is none yet.
+        // A request that is unread in the socket counts as accepted. An incomplete first message does not.
         let may_go = |id: &SessionId| {
             let facts = self.sessions.get(id).map(|s| ClientFacts {
                 message_begun: s.asked && !s.inbound.is_empty(),
@@ -143,15 +149,17 @@
     }
 }
 
-/// In which order clients are closed where room is needed, 0 first; `None` for those that are not. Those go first that
-/// are being closed and have their last answer, or took longer over their first request than a slow client may; then those that
-/// have had their answer, to whom a close costs no more than a new connection; then the longest under way with a first
-/// request, since most of a crowd that never ends one are among them.
+/// Returns the order in which clients are closed to make room, 0 first, or `None` if the client must not be
+/// closed. First are closing clients that have their last answer, then clients that took longer than
+/// [`SLOW_CLIENT`] over their first request. Next are clients that have had an answer, for whom a close costs
+/// no more than a new connection. Then come clients that have been sending a first request for long, because
+/// most clients that never complete one are among them; the newest clients come last.
 pub(super) fn eviction_rank(stage: &Stage, asked: bool, empty: bool, age: Micros) -> Option<usize> {
     match stage {
         Stage::Lingering => Some(0),
         Stage::Startup | Stage::Ready if !asked => {
-            // One that has introduced itself is no mere connection: it has a while for its request.
+            // A client that has sent its startup message is likely to send a request and gets more time for
+            // it.
             let started = matches!(stage, Stage::Ready);
             Some(match age {
                 SLOW_CLIENT.. => 1,
--- a/crates/gradeshunt/src/frontend/listener.rs
+++ b/crates/gradeshunt/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! The listeners: clients and other proxies are accepted here, until they close.
+//! The listeners for clients and for other proxies: opening, accepting connections, closing.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -20,32 +20,32 @@
 use crate::routing::Origin;
 use crate::turn::{Polled, Source as Polling, Turn};
 
-/// Connections accepted in one turn.
+/// Maximum number of connections accepted from one listener in one turn.
 const ACCEPTS_PER_TURN: usize = 64;
 
-/// Pause after connections could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_RETRY: Micros = 20_000;
 
-/// What is left of the connections that the kernel has accepted for us.
+/// State of a listener's backlog after accepting.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Backlog {
     Empty,
     /// More may be waiting.
     More,
-    /// The system gives no descriptor for the next one.
+    /// Accepting the next connection failed, for example for want of a descriptor.
     Stuck,
 }
 
 impl Frontend {
-    /// Accepts clients from now on.
+    /// Starts to accept clients.
     pub fn open(&mut self, turn: &mut Turn, listener: TcpListener) -> io::Result<()> {
         self.listener = Some(Polled::new(turn, listener, Polling::Listener)?);
-        // What came before the socket was polled is told to nobody.
+        // The poll is edge-triggered and does not report connections that arrived before the registration.
         turn.again.push(Polling::Listener);
         Ok(())
     }
 
-    /// Accepts other proxies from now on, and nowhere else.
+    /// Starts to accept other proxies at this listener, which replaces the former one.
     pub fn listen_for_peers(&mut self, turn: &mut Turn, listener: TcpListener) -> io::Result<()> {
         let polled = Polled::new(turn, listener, Polling::PeerListener)?;
         if let Some(former) = self.peer_listener.replace(polled) {
@@ -55,6 +55,7 @@
         Ok(())
     }
 
+    /// Accepts connections of clients.
     pub fn accept(&mut self, turn: &mut Turn) {
         if self.accept_some(turn, Source::Client) == Backlog::More {
             turn.again.push(Polling::Listener);
@@ -89,12 +90,13 @@
                     }
                     AcceptFailure::ThatConnection => {}
                     failure => {
-                        // The listener stays readable, so it is tried again only after a pause.
+                        // The next accept would fail likewise, so the listener is tried again only after a
+                        // pause.
                         warn!(turn.log, "cannot accept connections"; "error" => e.to_string());
                         if failure == AcceptFailure::Descriptors {
                             self.evict_one(turn);
                         }
-                        // What waits has waited since now, for all that is known.
+                        // The waiting connections are known to have waited since now at the latest.
                         self.backlog_since[backlog].get_or_insert(turn.now - turn.unread);
                         turn.deadlines.set(turn.now + ACCEPT_RETRY, again);
                         return Backlog::Stuck;
@@ -105,6 +107,8 @@
         Backlog::More
     }
 
+    /// Starts a session on an accepted connection. If the proxy is full, closes another client, or else this
+    /// one.
     pub(super) fn accept_session(
         &mut self,
         turn: &mut Turn,
@@ -145,10 +149,11 @@
         Ok(())
     }
 
-    /// Stops accepting after SIGTERM, and begins to close clients between requests. What waits on the socket is a
-    /// successor's where there is one; it is the same socket, and must not be shut down.
+    /// Stops accepting after SIGTERM and starts to close clients between requests. If another process has
+    /// taken over (`succeeded`), connections in the backlog are left to it; the two share the socket, so it
+    /// must not be shut down.
     pub fn close_listener(&mut self, turn: &mut Turn, exchange: &mut Exchange, succeeded: bool) {
-        // Connections that the kernel has accepted count as the proxy's.
+        // Without a successor, connections that the kernel has already accepted are still served.
         let backlog = std::iter::repeat_with(|| {
             if succeeded {
                 Backlog::Empty
@@ -158,12 +163,13 @@
         })
         .find(|b| *b != Backlog::More);
         if backlog == Some(Backlog::Stuck) {
-            // They would be reset with the socket: clients that leave make room for them.
+            // Closing the socket would reset the waiting connections. Clients that disconnect make room for
+            // them, so the close is retried later.
             turn.deadlines.set(turn.now + ACCEPT_RETRY, Due::CloseListener);
         } else if let Some(listener) = self.listener.take() {
             listener.close(turn);
         }
-        // Other proxies take a refused connection for a home that has gone, and go to the next one.
+        // Other proxies treat a refused connection as a home that is gone, and use the next one.
         if let Some(listener) = self.peer_listener.take() {
             listener.close(turn);
         }
--- a/crates/gradeshunt/src/frontend/messages.rs
+++ b/crates/gradeshunt/src/frontend/messages.rs
@@ -1,4 +1,4 @@
-//! What clients send, worked off message by message.
+//! Processes the messages that clients send, one at a time.
 
 use std::hash::BuildHasher;
 use std::rc::Rc;
@@ -15,16 +15,17 @@
 use crate::routing::Origin;
 use crate::turn::{Source, Turn};
 
-/// The process number by which a session's client names it in a cancel request.
+/// The process ID (of BackendKeyData) that identifies a session in a cancel request.
 fn process_of(id: SessionId) -> u32 {
     id.0 as u32
 }
 
-/// Messages of one connection worked off in one turn.
+/// Maximum number of messages of one connection that are processed in one turn.
 const MESSAGES_PER_TURN: usize = 32;
 
 impl Frontend {
-    /// Works off what has come, as far as the answers before it are out, and writes.
+    /// Processes buffered messages until a request is in progress or too many answers are unread, then
+    /// writes.
     pub(super) fn work(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: SessionId) {
         for n in 0..=MESSAGES_PER_TURN {
             let Some(s) = self.sessions.get_mut(&id) else { return };
@@ -59,7 +60,8 @@
         self.close_if_draining(turn, id);
     }
 
-    /// Sets the deadline for the rest of a message that has begun; each has its own, however slowly it drips.
+    /// Sets the deadline for the rest of an incomplete message. Each message has one deadline, which further
+    /// bytes do not extend.
     fn await_rest(&mut self, turn: &mut Turn, id: SessionId) {
         let Some(s) = self.sessions.get(&id) else { return };
         let part = match s.stage {
@@ -67,10 +69,12 @@
             Stage::Ready => s.inbound.first_arrived().filter(|_| s.outbound.len() <= UNREAD_LIMIT),
             Stage::Waiting(_) => None,
         };
-        // From its first byte, however long it then stood behind a request that was out.
+        // The time counts from the message's first byte, however long the message waited behind a request in
+        // progress.
         self.set_due(turn, id, part.map(|arrived| arrived + MESSAGE_TIMEOUT));
     }
 
+    /// Processes the startup packet, if it is complete. Returns whether to continue with the next message.
     fn startup(
         &mut self,
         turn: &mut Turn,
@@ -82,9 +86,9 @@
         s.inbound.consume(size);
         let w = Writer::default();
         match startup {
-            // Neither TLS nor GSSAPI is served: the client may go on in plain text.
+            // Neither TLS nor GSSAPI is supported; the client may continue in plain text.
             Startup::Encryption => Ok(s.outbound.push(b"N")),
-            // It gets no answer in this protocol, whatever comes of it.
+            // The protocol has no answer to a cancel request, whether it succeeds or not.
             Startup::Cancel { process, secret } => {
                 self.cancel(turn, exchange, process, secret);
                 self.close_with(turn, id, w, CloseReason::CancelRequest);
@@ -101,7 +105,7 @@
                     parameters.iter().find(|p| p.0 == name).map(|p| p.1.clone()).unwrap_or_default()
                 };
                 let (user, database) = (named("user"), named("database"));
-                // PostgreSQL's rule.
+                // As in PostgreSQL, the database defaults to the user name.
                 let database = if database.is_empty() { user.clone() } else { database };
                 s.origin = Origin { user, database, application_name: named("application_name") };
                 if s.is_peer() && !self.admit_peer(turn, id) {
@@ -118,7 +122,8 @@
         }
     }
 
-    /// Cancels the request of the session that was told this process number and this secret, if one is out.
+    /// Cancels the request in progress of the session that was given this process ID and secret key, if there
+    /// is one.
     fn cancel(&mut self, turn: &mut Turn, exchange: &mut Exchange, process: u32, secret: u32) {
         let is_it =
             |id: &SessionId| process_of(*id) == process && self.secrets.hash_one(*id) as u32 == secret;
@@ -128,6 +133,7 @@
         }
     }
 
+    /// Processes the next message, if it is complete. Returns whether to continue with the one after it.
     fn message(
         &mut self,
         turn: &mut Turn,
@@ -144,7 +150,7 @@
         let skipping = s.skipping;
         let w = Writer::default();
         let reply = match tag {
-            // Its last answer may not be written whole yet.
+            // Terminate while the last answer is not completely written: the session closes once it is.
             b'X' if !s.outbound.is_empty() => {
                 self.close_with(turn, id, w, CloseReason::Goodbye);
                 return Ok(false);
@@ -179,7 +185,7 @@
             b'F' => w
                 .error("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, "function calls are not supported", None)
                 .ready(),
-            // Copy data that comes late is passed over, as PostgreSQL does.
+            // Copy messages outside a copy are ignored, as PostgreSQL does.
             b'd' | b'c' | b'f' => return Ok(true),
             _ => return Err(Malformed("invalid frontend message type")),
         };
--- a/crates/gradeshunt/src/frontend/peers.rs
+++ b/crates/gradeshunt/src/frontend/peers.rs
@@ -1,4 +1,4 @@
-//! Other proxies as clients: who may connect, and what they are told when this proxy leaves.
+//! Other proxies as clients: which may connect, and the error they get when this proxy stops.
 
 use std::collections::BTreeSet;
 
@@ -11,24 +11,25 @@
 use crate::placing::PEER_USER;
 use crate::turn::Turn;
 
-/// The last message to another proxy whose connection is quiet: what it sends from now on is not read.
+/// The last message on an idle connection of another proxy; nothing that arrives after it is read.
 pub(super) fn leaving() -> Writer {
     Writer::default().error("FATAL", sqlstate::PROXY_LEAVING, "the proxy takes no more requests here", None)
 }
 
 impl Frontend {
-    /// Proxies of these names may connect from now on. Those that are connected already stay.
+    /// Sets the names of the proxies that may connect. Existing connections are not affected.
     pub fn set_peers(&mut self, names: BTreeSet<String>) {
         self.peer_names = names;
     }
 
-    /// Whether a connection at the address for other proxies is one of theirs, and may stay. Else it gets an error.
+    /// Checks a connection to the listener for other proxies by its startup message. Returns whether it is
+    /// admitted; otherwise the connection gets an error and closes.
     pub(super) fn admit_peer(&mut self, turn: &mut Turn, id: SessionId) -> bool {
         let Some(session) = self.sessions.get(&id) else { return false };
         let name = &session.origin.application_name;
         let known = session.origin.user == PEER_USER && self.peer_names.contains(name);
         let (code, what) = if !known {
-            warn!(turn.log, "a stranger at the address for other proxies"; "name" => name);
+            warn!(turn.log, "refused a connection at the address for other proxies: not one of them"; "name" => name);
             (sqlstate::INVALID_AUTHORIZATION, "this address is for the proxies of this group")
         } else if self.service != Service::Running {
             (sqlstate::CANNOT_CONNECT_NOW, "the proxy takes no more requests here")
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its state, its deadline, how bytes are read and written, and how it closes.
+//! One client connection: its state and deadline, reading, writing and closing.
 
 use std::net::Shutdown;
 
@@ -17,71 +17,80 @@
 use crate::routing::Origin;
 use crate::turn::{Polled, Source, Turn};
 
-/// Reads of one connection in one turn.
+/// Maximum number of reads of one connection in one turn.
 const READS_PER_TURN: usize = 8;
 
-/// How long a client may take over one message, its startup message too.
+/// How long a client may take to send one message, the startup message included, from its first byte.
 pub(super) const MESSAGE_TIMEOUT: Micros = 2_500_000;
 
-/// How long a closing connection is read on, so that what was written last is not lost to a reset: from its last byte.
+/// How long a connection stays open for reading after its last byte was written, so that a reset does not
+/// destroy what the client has yet to read.
 pub(super) const LINGER: Micros = 1_000_000;
 
-/// How long no byte of what was written last may move, where a client is slow to read it.
+/// How long the last message of a closing connection may make no progress while the client does not read.
 pub(super) const CLOSE_STALL_TIMEOUT: Micros = 5_000_000;
 
+/// The state of a session.
 pub(super) enum Stage {
-    /// Awaiting the startup message.
+    /// The startup message has not arrived.
     Startup,
-    /// Between requests.
+    /// No request is in progress.
     Ready,
-    /// A request is out.
+    /// A request is in progress.
     Waiting(RequestId),
     /// The last message is being written.
     Closing,
-    /// It is written, and sending shut down, once: each time wakes the poll. The client is to close too.
+    /// The last message is written and the sending side is shut down; the client has yet to close. The
+    /// shutdown happens only once, because each shutdown wakes the poll.
     Lingering,
 }
 
+/// The connection of a client or of another proxy.
 pub(super) struct Session {
     pub(super) polled: Polled,
     pub(super) inbound: Inbound,
     pub(super) outbound: Ring,
     pub(super) stage: Stage,
-    /// What still comes behind the last message stays unread: it may be a request, which is sent again only where it was not read.
+    /// Whether bytes that arrive once the session is closing stay unread: they may be a request, which the
+    /// client may safely send again only if it was never read.
     pub(super) leaves_unread: bool,
-    /// Whether it is a client's or another proxy's. It follows from the address at which it came in.
+    /// Whether the connection is a client's or another proxy's, by the listener that accepted it.
     pub(super) source: gradeshunt_placement::Source,
-    /// An unsupported message was answered with an error: all is passed over until Sync.
+    /// Whether messages are ignored until Sync, because an unsupported one was answered with an error.
     pub(super) skipping: bool,
+    /// Whether the client has ended the connection, or the connection is broken.
     pub(super) ended: bool,
-    /// It has sent a query.
+    /// Whether the client has sent a query.
     pub(super) asked: bool,
-    /// When it was last of use.
+    /// When the session was accepted, last received a message or last got an answer.
     pub(super) since: Micros,
-    /// Since when it may have stood in the backlog with what it sent, until that is read.
+    /// The time since which the connection, and what the client sent on it, may have waited in the listen
+    /// backlog. Taken at the first read.
     pub(super) waited_since: Option<Micros>,
+    /// When the session's deadline expires, if one is set.
     pub(super) due: Option<Micros>,
-    /// Who it is.
+    /// The user, database and application of the startup message.
     pub(super) origin: Origin,
-    /// Whether what is out may write, and when the last one that might was answered.
+    /// Whether the plain statement in progress may write.
     pub(super) writing: bool,
+    /// When the last plain statement that may have written was answered.
     pub(super) wrote: Option<Micros>,
 }
 
 impl Session {
-    /// Whether it is another proxy's.
+    /// Whether the connection is another proxy's.
     pub(super) fn is_peer(&self) -> bool {
         self.source == gradeshunt_placement::Source::Proxy
     }
 
-    /// Whether its last message is written, or is being written.
+    /// Whether the session's last message is being written or already is.
     pub(super) fn is_ending(&self) -> bool {
         matches!(self.stage, Stage::Closing | Stage::Lingering)
     }
 }
 
 impl Frontend {
-    /// A deadline of a session: it took too long over a message, or to close.
+    /// Handles an expired deadline of a session: the client took too long to send a message, or to close.
     pub fn session_due(&mut self, turn: &mut Turn, id: SessionId) {
         let Some(s) = self.sessions.get(&id).filter(|s| s.due.is_some_and(|due| due <= turn.now)) else {
             return;
@@ -93,6 +102,7 @@
         self.close_with(turn, id, Writer::default().error("FATAL", code, what, None), CloseReason::Slow);
     }
 
+    /// Reads from a session whose socket is ready, and processes what was read.
     pub fn ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: SessionId) {
         let mut full = false;
         let waited = self.sessions.get_mut(&id).and_then(|s| s.waited_since.take());
@@ -112,7 +122,7 @@
             match s.inbound.fill(&s.polled.socket, arrived) {
                 Ok(Moved::Some(_)) if s.is_ending() => s.inbound.clear(),
                 Ok(Moved::Some(_)) => {
-                    // Better one long request turned away than the process killed for memory.
+                    // Refusing one large request is better than having the process killed for its memory use.
                     let waiting = matches!(s.stage, Stage::Waiting(_));
                     if s.inbound.len() > SMALL && !waiting && memory::held() > self.most_memory {
                         warn!(turn.log, "too much in buffers, turning a client away"; "bytes" => memory::held());
@@ -121,7 +131,7 @@
                         return self.close_with(turn, id, error, CloseReason::Memory);
                     }
                 }
-                // What has come fills the ring, and hides whether the client is still there.
+                // A full ring prevents the read that would show the end of the connection.
                 Ok(Moved::Nothing) if s.inbound.is_full() && s.polled.has_hung_up() => {
                     s.ended = true;
                     break;
@@ -138,12 +148,14 @@
             }
         }
         self.work(turn, exchange, id);
-        // A full ring hid what else is readable, and the poll tells of that only once.
+        // While the ring was full the socket was not read until it would block, and the edge-triggered poll
+        // reports readiness only once.
         if full && self.sessions.get(&id).is_some_and(|s| !s.inbound.is_full()) {
             turn.again.push(Source::Session(id));
         }
     }
 
+    /// Writes buffered output until the socket would block.
     pub(super) fn flush(&mut self, turn: &mut Turn, id: SessionId) {
         let Some(s) = self.sessions.get_mut(&id) else { return };
         let mut moved = false;
@@ -152,26 +164,29 @@
                 Ok(Moved::Some(_)) => moved = true,
                 Ok(_) => break,
                 Err(_) => {
-                    // Read readiness tells of the close, too; this is only the first to notice.
+                    // The connection is broken. The session is closed when it is next processed.
                     s.ended = true;
                     return turn.again.push(Source::Session(id));
                 }
             }
         }
         match s.stage {
-            // The client may still be sending: closing at once would reset what it has yet to read.
+            // The client may still be sending; an immediate close would reset the connection and destroy what
+            // the client has yet to read.
             Stage::Closing if s.outbound.is_empty() => {
                 s.stage = Stage::Lingering;
                 let _ = s.polled.socket.shutdown(Shutdown::Write);
                 self.set_due(turn, id, Some(turn.now + LINGER));
             }
-            // As long as a slow client reads, it gets the rest.
+            // Each progress extends the deadline, so that a slow client that keeps reading gets the whole
+            // message.
             Stage::Closing if moved => self.set_due(turn, id, Some(turn.now + CLOSE_STALL_TIMEOUT)),
             _ => {}
         }
     }
 
-    /// Writes the last message of a connection and closes it once the client has had it.
+    /// Writes the last message of a connection and closes the connection once the client has had time to read
+    /// it.
     pub(super) fn close_with(&mut self, turn: &mut Turn, id: SessionId, last: Writer, reason: CloseReason) {
         let Some(s) = self.sessions.get_mut(&id).filter(|s| !s.is_ending()) else { return };
         s.stage = Stage::Closing;
@@ -183,7 +198,8 @@
         self.flush(turn, id);
     }
 
-    /// Closes a connection whose client has left, or can't be served on; its request is withdrawn.
+    /// Closes a connection whose client has disconnected or can't be served any further, and withdraws its
+    /// request.
     pub(super) fn abandon_session(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: SessionId) {
         let waiting = self.sessions.get(&id).and_then(|s| match s.stage {
             Stage::Waiting(request) => Some(request),
@@ -197,6 +213,7 @@
         self.close(turn, id);
     }
 
+    /// Replaces the session's deadline; `None` removes it.
     pub(super) fn set_due(&mut self, turn: &mut Turn, id: SessionId, due: Option<Micros>) {
         let Some(s) = self.sessions.get_mut(&id) else { return };
         if let Some(at) = s.due {
@@ -208,6 +225,7 @@
         }
     }
 
+    /// Closes the connection immediately.
     pub(super) fn close(&mut self, turn: &mut Turn, id: SessionId) {
         self.set_due(turn, id, None);
         if let Some(s) = self.sessions.remove(&id) {
--- a/crates/gradeshunt/src/frontend/statements.rs
+++ b/crates/gradeshunt/src/frontend/statements.rs
@@ -1,4 +1,4 @@
-//! Statements become requests: by their routing comment, or by the rules that operators give.
+//! Turns statements into requests, by their routing comment or by the operators' rules.
 
 use std::rc::Rc;
 
@@ -14,15 +14,16 @@
 use crate::routing::{Decision, Routed};
 use crate::turn::Turn;
 
-/// What a query comes to.
+/// How a query is handled.
 pub(super) enum Step {
+    /// The proxy answers the query itself.
     Reply(Writer),
-    /// A request, and its id.
+    /// The query becomes a request with this id.
     Call(Box<Call>, Rc<str>),
 }
 
 impl Frontend {
-    /// Works off a statement whose last byte arrived at `arrived`.
+    /// Processes a statement whose last byte arrived at `arrived`.
     pub(super) fn query(
         &mut self,
         turn: &Turn,
@@ -46,13 +47,14 @@
             return Ok(Step::Reply(w.message(b'I', &[]).ready()));
         }
         let verb = words.split_whitespace().next().unwrap_or("").to_ascii_uppercase();
-        // Sessions have no state of their own here, so there is nothing to set and nothing to discard.
+        // The proxy keeps no session state, so there is nothing to set and nothing to discard.
         if matches!(verb.as_str(), "SET" | "RESET" | "DISCARD") {
             return Ok(Step::Reply(w.message(b'C', &[verb.as_bytes(), b"\0"]).ready()));
         }
         let source = self.sessions.get(&session).map_or(Source::Client, |s| s.source);
         let c = match pg::comment(statement) {
-            // Another proxy sends on what has a comment alone: its session is elsewhere.
+            // Other proxies forward only statements with a routing comment, since a plain statement depends
+            // on its session, which the forwarding proxy holds.
             Err(_) if self.router.is_some() && source == Source::Client => {
                 return self.plain(turn, session, text, arrived)
             }
@@ -69,7 +71,7 @@
             }
         }
         let (read, effect) = (self.settings.classes[class.0].read, self.settings.classes[class.0].effect);
-        // Another client waits for the answer that this id has: nobody may be served with it instead.
+        // Another client waits for the answer of this id and must not be mixed up with this one.
         if self.ids.contains(c.id) {
             return Err("the id is that of an open request".to_owned());
         }
@@ -79,9 +81,9 @@
         let key = matches!(read, ReadLevel::Session | ReadLevel::Write).then(|| pg::first_literal(statement));
         let key = key.flatten().map(|k| u64::from_str_radix(k, 16).unwrap_or_else(|_| fnv(k)));
         let after = c.after.filter(|_| read == ReadLevel::Session);
-        // Never below one: a commit of just now is still a commit.
+        // At least one, so that a commit of this very moment still counts.
         let since_write = after.map(|ms| (turn.now - turn.clock.latest_at_unix_ms(ms as f64)).max(1));
-        // No client of a class waits longer than its class does, whatever it says.
+        // The class's deadline bounds the wait that the client asks for.
         let wait = (Micros::from(c.wait_ms) * 1000).min(self.settings.classes[class.0].deadline);
         let deadline = self.deadline(arrived, wait);
         let id = Rc::from(c.id);
@@ -94,8 +96,8 @@
         Ok(Step::Call(Box::new(call), id))
     }
 
-    /// A statement without a routing comment goes where the operators' rules say. The connection is its session: what
-    /// it has written it sees.
+    /// Routes a statement without a routing comment by the operators' rules. The connection is the session:
+    /// its reads see its own writes.
     fn plain(
         &mut self,
         turn: &Turn,
@@ -133,14 +135,14 @@
         Ok(Step::Call(Box::new(call), id))
     }
 
-    /// When the wait of a request is over whose last byte arrived at `arrived`. It counts from then, however long the
-    /// request stood behind others, and not from when its turn came.
+    /// Returns the deadline of a request whose last byte arrived at `arrived`. The wait counts from that
+    /// arrival, however long the request then queued behind others.
     fn deadline(&self, arrived: Micros, wait: Micros) -> Micros {
         (arrived + wait).min(self.drain_deadline.unwrap_or(Micros::MAX))
     }
 }
 
-/// Where a plain statement goes, or what its client is told instead.
+/// Returns the route of a plain statement, or the reply to the client if the statement is not sent anywhere.
 fn route_or_reply(decision: Decision) -> Result<Routed, Writer> {
     let w = Writer::default();
     let unsupported = |what: &str| w.error("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, what, None).ready();
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the part named by the folder.
+//! Tests of the client side: eviction, closing, and the deadlines of requests and messages.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -15,7 +15,8 @@
 use crate::ring::LARGEST;
 use crate::turn::{Ready, Turn};
 
-/// Guards slow clients in a crowd: they may take 2 s over a request, and whoever has had an answer goes first.
+/// Slow clients are not evicted early when many clients are open: they may take 2 s to send a request, and
+/// clients that already had an answer are evicted first.
 #[test]
 fn idle_clients_make_room_before_slow_ones() {
     let slow = eviction_rank(&Stage::Startup, false, false, SLOW_CLIENT - 1);
@@ -26,25 +27,25 @@
     let new = eviction_rank(&Stage::Startup, false, true, 0);
     assert!(
         slow < new && new < eviction_rank(&Stage::Ready, false, true, 0),
-        "what came just now may ask yet"
+        "a client that connected just now may still send a request"
     );
-    assert_eq!(eviction_rank(&Stage::Ready, true, false, SLOW_CLIENT), None, "a request may be unread");
+    assert_eq!(eviction_rank(&Stage::Ready, true, false, SLOW_CLIENT), None, "its request may be unread");
     assert_eq!(eviction_rank(&Stage::Waiting(RequestId(0)), true, true, SLOW_CLIENT), None);
 }
 
-/// Guards the last answer of a client that is being closed: while it is unwritten its connection makes no room.
+/// A closing client is not evicted while its last answer is unwritten, so that the answer is not lost.
 #[test]
 fn closing_client_makes_room_once_it_has_its_last_answer() {
     assert_eq!(eviction_rank(&Stage::Closing, true, false, SLOW_CLIENT), None);
     assert_eq!(eviction_rank(&Stage::Lingering, true, true, 0), Some(0));
 }
 
-/// A client side with one client on a real connection, and a clock that the test sets.
+/// Sets up a client side with one client on a real connection; the test sets the clock.
 fn one_client() -> (Frontend, Turn, TcpStream, SessionId, calloop::EventLoop<'static, Ready>) {
     let poll = calloop::EventLoop::<Ready>::try_new().expect("a poll");
     let mut turn = Turn::new(poll.handle(), slog::Logger::root(slog::Discard, slog::o!()));
     turn.now = 0;
-    let config = std::fs::read_to_string("../../examples/config.json").expect("the example");
+    let config = std::fs::read_to_string("../../examples/config.json").expect("the example file is readable");
     let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
     let facts = leadmast::settings::read(&config["settings"]).expect("settings");
     let mut frontend = Frontend::new(facts.settings, facts.names);
@@ -57,12 +58,12 @@
     (frontend, turn, client, id, poll)
 }
 
-/// Guards the tail of a last answer: a client that reads slowly has it for as long as bytes move, and one that reads
-/// nothing any more is closed in the end.
+/// A closing client that reads slowly gets its whole last answer, because each progress extends the deadline;
+/// one that stops reading is closed at the deadline.
 #[test]
 fn slow_client_gets_the_whole_of_its_last_answer() {
     let (mut frontend, mut turn, mut client, id, _poll) = one_client();
-    // The system holds little for them, so that it takes many rounds.
+    // Small socket buffers, so that the answer takes many rounds.
     let socket = &frontend.sessions[&id].polled.socket;
     socket2::SockRef::from(&**socket).set_send_buffer_size(32 * 1024).expect("it can be set");
     socket2::SockRef::from(&client).set_recv_buffer_size(32 * 1024).expect("it can be set");
@@ -79,7 +80,7 @@
     let mut rounds = 0;
     while !frontend.sessions[&id].outbound.is_empty() {
         rounds += 1;
-        // Just before its time is over some of it moves.
+        // Some bytes are read just before the deadline.
         turn.now += CLOSE_STALL_TIMEOUT - 1;
         frontend.session_due(&mut turn, id);
         let before = frontend.sessions[&id].outbound.len();
@@ -88,13 +89,13 @@
             frontend.flush(&mut turn, id);
         }
     }
-    assert!(rounds > 1, "it took more than its time");
+    assert!(rounds > 1, "the answer took longer than one deadline");
     turn.now += LINGER - 1;
     frontend.session_due(&mut turn, id);
     while read < sent {
         read += client.read(&mut piece).expect("it is open");
     }
-    assert_eq!((read, client.read(&mut piece).expect("an end, and no reset")), (sent, 0));
+    assert_eq!((read, client.read(&mut piece).expect("the end of the stream, not a reset")), (sent, 0));
 
     let (mut frontend, mut turn, _client, id, _poll) = one_client();
     while frontend.sessions[&id].outbound.is_empty() {
@@ -105,11 +106,11 @@
     frontend.close_with(&mut turn, id, Writer::default(), CloseReason::Idle);
     turn.now = frontend.sessions[&id].due.expect("it has a deadline");
     frontend.session_due(&mut turn, id);
-    assert!(frontend.sessions.is_empty(), "no byte has moved");
+    assert!(frontend.sessions.is_empty(), "a client that reads nothing is closed");
 }
 
-/// Guards the loop: a client that is closed and rests, as many do, is no work while it is waited for. Each shutdown wakes
-/// the poll, so that one a turn would turn for ever.
+/// A lingering session causes no wakeups. Each shutdown of a socket wakes the poll, so a session that shuts
+/// down its socket in every turn would keep the loop busy for ever.
 #[test]
 fn closed_client_that_rests_wakes_nobody() {
     let (mut frontend, mut turn, mut client, id, mut poll) = one_client();
@@ -124,7 +125,7 @@
             break;
         }
         woken += 1;
-        assert!(woken < 10, "it wakes itself");
+        assert!(woken < 10, "the session wakes itself");
         frontend.ready(&mut turn, &mut exchange, id);
     }
     assert!(matches!(frontend.sessions[&id].stage, Stage::Lingering));
@@ -132,10 +133,11 @@
     let mut ready = Ready::new();
     poll.dispatch(None, &mut ready).expect("it polls");
     frontend.ready(&mut turn, &mut exchange, id);
-    assert!(frontend.sessions.is_empty(), "it has closed too");
+    assert!(frontend.sessions.is_empty(), "the session closes after the client");
 }
 
-/// Guards requests that cross the close of a drained or idle connection: what is read and not answered is lost.
+/// A request that crosses the close of a drained or idle connection is not read: a request that is read and
+/// not answered is lost, an unread one the client may send again.
 #[test]
 fn request_that_crosses_a_close_is_not_read() {
     for reason in [CloseReason::Draining, CloseReason::Idle] {
@@ -146,15 +148,15 @@
         client.write_all(&read_of(1, 1_000)).expect("it is half open");
         while frontend.sessions[&id].polled.is_quiet() {}
         frontend.ready(&mut turn, &mut exchange, id);
-        assert!(!frontend.sessions[&id].polled.is_quiet(), "it was read");
+        assert!(!frontend.sessions[&id].polled.is_quiet(), "the request was read");
         drop(client);
         while !frontend.sessions[&id].polled.has_hung_up() {}
         frontend.ready(&mut turn, &mut exchange, id);
-        assert!(frontend.sessions.is_empty(), "it has closed too");
+        assert!(frontend.sessions.is_empty(), "the session closes after the client");
     }
 }
 
-/// A query of `wait_ms`, as its bytes.
+/// The bytes of a read query that waits `wait_ms` at most.
 fn read_of(number: usize, wait_ms: u32) -> Vec<u8> {
     let statement = format!(
         "/* id={number},c=page-read,d={wait_ms},cluster=1 */ SELECT data FROM facts WHERE code = '{number:x}'"
@@ -162,7 +164,7 @@
     Writer::default().query(&[statement.as_bytes()]).0
 }
 
-/// A client whose first request is out, so that all that it sends next waits for its turn.
+/// A client whose first request is in progress, so that everything it sends next queues behind that request.
 struct Pipeline {
     frontend: Frontend,
     turn: Turn,
@@ -183,7 +185,7 @@
         pipeline
     }
 
-    /// Sends bytes, which the client side finds at `at`.
+    /// Sends bytes, which the client side reads at time `at`.
     fn send(&mut self, at: Micros, bytes: &[u8]) {
         use std::io::Write;
         self.turn.now = at;
@@ -192,14 +194,16 @@
         self.frontend.ready(&mut self.turn, &mut self.exchange, self.id);
     }
 
-    /// The first request is answered at `at`, and what stands behind it gets its turns. How many of those had no time left.
+    /// Answers the first request at `at` and processes the requests behind it. Returns how many of those had
+    /// expired.
     fn expired(&mut self, at: Micros) -> u64 {
         self.turn.now = at;
         self.frontend.answer(&mut self.turn, &mut self.exchange, RequestId(0), Final::Failed(None));
         loop {
             if let Some((request, answer)) = self.exchange.answers.pop_front() {
                 let crate::exchange::Answer::Final(last) = answer else { panic!("a part of an answer") };
-                // No db host is known: the module refuses what has little time left, too.
+                // No db host is known, so the decision module refuses requests, also those with little time
+                // left.
                 assert!(matches!(last, Final::Refused { .. }), "{last:?}");
                 self.frontend.answer(&mut self.turn, &mut self.exchange, request, last);
             } else if self.turn.again.pop().is_some() {
@@ -211,14 +215,15 @@
     }
 }
 
-/// How many of the requests that `prepare` sends have no time left where the one before them is answered at `at`.
+/// Returns how many of the requests that `prepare` sends have expired if the request before them is answered
+/// at `at`.
 fn expired_at(at: Micros, prepare: impl Fn(&mut Pipeline)) -> u64 {
     let mut pipeline = Pipeline::begin();
     prepare(&mut pipeline);
     pipeline.expired(at)
 }
 
-/// Guards the wait of a request that comes in pieces: it counts from its last byte.
+/// The wait of a request that arrives in pieces counts from its last byte.
 #[test]
 fn wait_counts_from_the_last_byte() {
     let pieces = |pipeline: &mut Pipeline| {
@@ -231,7 +236,7 @@
     assert_eq!(expired_at(150_000, pieces), 1);
 }
 
-/// Guards a pipeline: requests that came in one read, and then stood behind one that took long, have no time left.
+/// Pipelined requests that arrive in one read expire while they queue behind a request that takes long.
 #[test]
 fn pipeline_of_ten_behind_a_long_request_is_over_with_its_wait() {
     let ten = |pipeline: &mut Pipeline| {
@@ -242,11 +247,12 @@
     assert_eq!(expired_at(110_000, ten), 10);
 }
 
-/// Guards a request that stood in the socket while the client's ring was full: its wait counts from when it came there.
+/// The wait of a request that stayed in the socket while the client's ring was full counts from its arrival
+/// there.
 #[test]
 fn wait_counts_while_the_ring_is_full() {
     let behind_a_full_ring = |pipeline: &mut Pipeline| {
-        // Answered on the spot, once it is their turn.
+        // The proxy answers these statements itself, once the request before them is answered.
         let mut filler = b"SET a TO b".to_vec();
         filler.resize(LARGEST / 4 - 6, b' ');
         let filler = Writer::default().query(&[&filler]).0;
@@ -262,7 +268,7 @@
     assert_eq!(expired_at(150_000, behind_a_full_ring), 1);
 }
 
-/// Guards the end of the process: no request is held beyond the drain deadline, and one that comes later is refused at once.
+/// No request is held beyond the drain deadline, and one that arrives later is refused at once.
 #[test]
 fn drain_deadline_bounds_the_wait() {
     let before = |pipeline: &mut Pipeline| {
@@ -278,7 +284,7 @@
     assert_eq!(expired_at(120_001, after), 1);
 }
 
-/// Guards a pipeline whose client has left: none of it is taken up.
+/// Pipelined requests of a client that has disconnected are dropped unprocessed.
 #[test]
 fn pipeline_of_a_client_that_left_is_dropped() {
     let mut pipeline = Pipeline::begin();
@@ -289,7 +295,7 @@
     assert!(pipeline.frontend.sessions.is_empty() && pipeline.frontend.owners.is_empty());
     assert!(pipeline.exchange.is_idle() && pipeline.exchange.answers.is_empty());
     let next = pipeline.exchange.submit(&mut pipeline.turn, call_of(10_000));
-    assert_eq!(next, RequestId(1), "the second request was never taken up");
+    assert_eq!(next, RequestId(1), "the second request was never submitted");
 }
 
 /// A request whose wait ends at `deadline`.
@@ -308,8 +314,8 @@
     }
 }
 
-/// Guards a client that stops amid a request and stays, behind one of its own that is out: what it is owed counts from when it
-/// stopped, not from the answer before.
+/// A client that stops in the middle of a message, sent behind a request in progress, is closed after the
+/// message timeout from the message's first byte, not from the answer to the request before it.
 #[test]
 fn half_a_request_behind_another_is_bounded_from_its_first_byte() {
     const STOPPED: Micros = 10_000;
