--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -1,5 +1,5 @@
-//! The operators' address: HTTP/1.1, one call a connection. Here calls are read and answers written; what a
-//! call asks for is done by the parts that own it.
+//! The operators' HTTP/1.1 interface, with one request per connection ("call"). This module parses calls and
+//! writes responses; the parts of the proxy that own a command carry it out.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -16,44 +16,50 @@
 use crate::ring::{Moved, Ring};
 use crate::turn::{self, Polled, Source, Turn};
 
-/// Longest call taken, and its most headers.
+/// Maximum size in bytes of a call's head, and maximum number of its headers.
 const LONGEST_CALL: usize = 8 * 1024;
 const HEADERS: usize = 64;
-/// How long a caller may take over its call, and how long it is read on after the answer.
+/// How long a call may take to arrive and to be carried out, and how long a connection stays open after the
+/// response.
 const CALL_TIMEOUT: Micros = 3_000_000;
 const LINGER: Micros = 500_000;
-/// Pause after callers could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_RETRY: Micros = 20_000;
 
-/// What an operator asks for.
+/// A command of an operator.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command {
+    /// Report the proxy's state.
     Status,
+    /// Report the metrics.
     Figures,
-    /// How the loop has fared.
+    /// Report the timing of the event loop.
     Loop,
-    /// How plain statements fare.
+    /// Report the counters of plain statements.
     Shapes,
-    /// Nothing new to the db host of this name, until it is readmitted.
+    /// Send no new requests to the db host of this name until it is readmitted.
     HoldOut(String),
+    /// Readmit the db host of this name.
     Readmit(String),
-    /// How sites stand.
+    /// Report the state of the sites.
     Sites,
-    /// Nothing new to a site's db hosts, until it is let back.
+    /// Send no new requests to the db hosts of this site until the site is readmitted.
     HoldSite(String),
+    /// Readmit the site of this name.
     LetSiteBack(String),
-    /// Which group this proxy is in, and how the others of it stand.
+    /// Report the group of this proxy and the state of its peers.
     Placement,
-    /// Clients are to be sent away, or served again.
+    /// Close clients between requests.
     Standby,
+    /// Serve clients again.
     Active,
 }
 
-/// What a caller is told.
+/// The response to a call.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Answer {
     status: u16,
-    /// The one method that the path has, where the call used another.
+    /// The method that the path supports, if the call used another one.
     allow: Option<&'static str>,
     body: String,
 }
@@ -83,15 +89,17 @@
     }
 }
 
+/// The state of an operator's connection.
 enum Stage {
-    /// Its call is not whole yet.
+    /// The call is incomplete.
     Asking,
-    /// Its call is being carried out.
+    /// The call is being carried out.
     Owed,
-    /// Its answer is given; whatever still comes is discarded until it closes too.
+    /// The response is written or buffered; further input is discarded until the caller closes.
     Answered,
 }
 
+/// An operator's connection.
 struct Caller {
     polled: Polled,
     inbound: Ring,
@@ -100,7 +108,7 @@
     due: Micros,
 }
 
-/// The operators' side.
+/// The listener for operators and their connections.
 pub struct Control {
     listener: Polled<TcpListener>,
     most: usize,
@@ -109,7 +117,7 @@
 }
 
 impl Control {
-    /// Listens at `addr` and holds `most` callers at most.
+    /// Listens at `addr` and keeps at most `most` connections open.
     pub fn listen(turn: &Turn, addr: SocketAddr, most: usize) -> io::Result<Self> {
         let listener = Polled::new(turn, turn::listener(addr)?, Source::Control)?;
         Ok(Control { listener, most, callers: BTreeMap::new(), next: 0 })
@@ -120,7 +128,8 @@
     }
 
     pub fn accept(&mut self, turn: &mut Turn) {
-        // As many as there may be at a time: those that come after them have their turn, too.
+        // At most as many per turn as may be open at a time, so that accepted callers are served before more
+        // come.
         for _ in 0..self.most {
             match self.listener.socket.accept() {
                 Ok((socket, _)) => {
@@ -144,7 +153,8 @@
 
     fn accept_caller(&mut self, turn: &mut Turn, socket: TcpStream) -> io::Result<()> {
         if self.callers.len() >= self.most {
-            // Whoever has been silent longest makes room; one whose call stands unread is spared.
+            // Closes the oldest connection that is answered or has nothing unread; if there is none, the
+            // oldest one.
             let silent = |c: &Caller| match c.stage {
                 Stage::Answered => true,
                 Stage::Owed => false,
@@ -168,14 +178,16 @@
         Ok(())
     }
 
-    /// Reads on; a whole call is handed out once, and owed [`Control::answer`].
+    /// Reads and writes as far as possible. Returns a complete call once; the caller must follow it with
+    /// [`Control::answer`].
     pub fn ready(&mut self, turn: &mut Turn, id: CallerId) -> Option<Command> {
         loop {
             let c = self.callers.get_mut(&id)?;
             let moved = c.outbound.drain(&c.polled.socket).and_then(|_| c.inbound.fill(&c.polled.socket));
             match (moved, &c.stage) {
                 (Ok(Moved::Nothing), Stage::Answered) if c.outbound.is_empty() => {
-                    // Closing at once would reset what the caller has yet to read.
+                    // An immediate close could reset the connection and destroy what the caller has yet to
+                    // read.
                     let _ = c.polled.socket.shutdown(Shutdown::Write);
                     return None;
                 }
@@ -189,7 +201,7 @@
                     }
                     Err(answer) => self.answer(turn, id, &answer),
                 },
-                // One that has said all it will still waits for its answer.
+                // A caller that has shut down its sending side still waits for the response.
                 (Ok(Moved::End), Stage::Owed) => return None,
                 (Ok(Moved::End) | Err(_), _) => {
                     self.close(turn, id);
@@ -199,6 +211,7 @@
         }
     }
 
+    /// Writes the response to a call.
     pub fn answer(&mut self, turn: &mut Turn, id: CallerId, answer: &Answer) {
         let Some(c) = self.callers.get_mut(&id) else { return };
         (c.stage, c.inbound) = (Stage::Answered, Ring::default());
@@ -209,12 +222,13 @@
         self.ready(turn, id);
     }
 
-    /// A caller took too long over its call, or to close.
+    /// Handles an expired deadline: the call did not arrive or was not carried out in time, or the caller did
+    /// not close.
     pub fn due(&mut self, turn: &mut Turn, id: CallerId) {
         match self.callers.get(&id).map(|c| &c.stage) {
             Some(Stage::Asking) => self.answer(turn, id, &Answer::new(408, "no whole call in time\n")),
             Some(Stage::Owed) => {
-                warn!(turn.log, "an operator's call is not carried out in time, but may be yet");
+                warn!(turn.log, "an operator's call was not carried out in time, but may still be");
                 self.answer(turn, id, &Answer::new(504, "not carried out in time, but may be yet\n"));
             }
             Some(Stage::Answered) => self.close(turn, id),
@@ -230,7 +244,7 @@
     }
 }
 
-/// Reads a call; `None` until its head is whole. A body asks for nothing here.
+/// Parses a call; returns `None` until its head is complete. Bodies are ignored.
 fn read(bytes: &[u8]) -> Result<Option<Command>, Answer> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -267,7 +281,7 @@
     Ok(Some(command))
 }
 
-/// Undoes percent-encoding.
+/// Decodes percent-encoding; returns `None` if the text is empty or malformed.
 fn decode(text: &str) -> Option<String> {
     let mut pieces = text.split('%');
     let mut bytes = pieces.next()?.as_bytes().to_vec();
@@ -279,7 +293,7 @@
     String::from_utf8(bytes).ok().filter(|id| !id.is_empty())
 }
 
-/// The figures as text: a line each, by class where a class has its own.
+/// Renders the metrics in the text exposition format.
 pub fn exposition(figures: &Figures, classes: &[String], tenants: &[String]) -> String {
     let statuses = |c: &Count| [("success", c.served), ("overload", c.refused), ("error", c.failed)];
     let mut text = String::from("# TYPE app_replies counter\n");
--- a/crates/gradeshunt/src/control/tests.rs
+++ b/crates/gradeshunt/src/control/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the part named by the folder.
+//! Tests of the parsing of operators' calls.
 
 use super::*;
 
-/// Guards the paths: an id comes decoded, and what is no call gets the 4xx that says why.
+/// Names in paths are decoded, and invalid calls get the 4xx status that tells what is wrong.
 #[test]
 fn reads_calls() {
     let call = |line: &str| read(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -1,5 +1,6 @@
-//! What a proxy spends on control: discovery's client, the list of db hosts, the decision module, and what passes between
-//! them. It knows no client's socket and no db host's: those who have them take the [`Step`]s that it hands out.
+//! The control part of a proxy: discovery's client, the list of db hosts, the decision module, and the data
+//! that passes between them. It has no sockets of clients or db hosts; the parts that have them carry out the
+//! [`Step`]s that it returns.
 
 use std::net::SocketAddr;
 
@@ -22,50 +23,51 @@
     pub(crate) exchange: Exchange,
     pub(crate) discovery: Discovery,
     pub(crate) loop_stats: LoopStats,
-    /// The list of db hosts from the configuration, until the proxy begins.
+    /// The list of db hosts from the configuration, until [`Core::start`].
     known: Option<News>,
+    /// Lists and changes from discovery that the decision module has not processed yet.
     news: Vec<News>,
 }
 
-/// What is left for the parts that have sockets.
+/// Work for the parts that have sockets.
 pub enum Step {
-    /// The module has heard of a list.
+    /// The db host side applies a list that the decision module has processed.
     List(List),
-    /// The module asks something of the db hosts' side.
+    /// The db host side carries out an order of the decision module.
     Order(Order),
-    /// A request's client is to be answered.
+    /// The client side answers a request.
     Answer(RequestId, Answer),
 }
 
-/// A list of db hosts that the module has heard of.
+/// A list of db hosts, or a change to it, that the decision module has processed.
 pub struct List {
     pub(crate) kind: ListKind,
     pub(crate) listed: Vec<Listed>,
 }
 
 impl List {
-    /// Whether discovery told it, and not the configuration.
+    /// Whether the list comes from discovery and not from the configuration.
     pub fn is_heard(&self) -> bool {
         matches!(self.kind, ListKind::Full | ListKind::Incremental)
     }
 
-    /// Whether discovery told it whole.
+    /// Whether discovery sent the complete list and not only a change.
     pub fn is_whole(&self) -> bool {
         self.kind == ListKind::Full
     }
 
-    /// How many db hosts it tells of.
+    /// Number of db hosts in the list.
     pub fn entries(&self) -> usize {
         self.listed.len()
     }
 }
 
 impl Core {
-    /// The control part as the configuration describes it. Nothing is asked of discovery before [`Core::start`].
+    /// Creates the control part from the configuration. Discovery is not contacted before [`Core::start`].
     ///
     /// # Errors
     ///
-    /// Where the list of db hosts in the configuration can't be read.
+    /// If the list of db hosts in the configuration can't be parsed.
     pub fn new(
         config: &mut Config,
         event_loop: &EventLoop<'static, Ready>,
@@ -89,21 +91,21 @@
         Ok(Core { turn, exchange, discovery, loop_stats, known, news: Vec::new() })
     }
 
-    /// Takes in the list that the configuration gives, and watches discovery from now on.
+    /// Applies the list of db hosts from the configuration and starts to watch discovery.
     pub fn start(&mut self) {
-        // What is known may be old: it comes before anything that discovery tells.
+        // The configured list may be outdated, so it is applied before anything from discovery.
         self.news.extend(self.known.take());
         self.discovery.start(&mut self.turn, &mut self.news);
     }
 
-    /// Works off a source that has become ready; false where it is another part's.
+    /// Processes a source that has become ready. Returns false if the source belongs to another part.
     pub fn event(&mut self, source: Source) -> bool {
         let Source::Call(id) = source else { return false };
         self.discovery.ready(&mut self.turn, id, &mut self.news);
         true
     }
 
-    /// Works off a deadline that has fallen due; false where it is another part's.
+    /// Processes an expired deadline. Returns false if the deadline belongs to another part.
     pub fn due(&mut self, due: Due) -> bool {
         match due {
             Due::Module(tag) => self.exchange.timer(&mut self.turn, tag),
@@ -116,15 +118,17 @@
         true
     }
 
-    /// Discovery is elsewhere from now on, or may be silent for another time.
+    /// Changes discovery's address or the time for which discovery may be silent.
     pub(crate) fn move_discovery(&mut self, to: SocketAddr, silence: Micros) {
         self.discovery.move_to(&mut self.turn, to, silence, &mut self.news);
     }
 
-    /// Carries on what stands between its parts, until there is something for another part to do, or nothing at all.
+    /// Passes queued data between the parts of the core until there is work for another part, or none is
+    /// left.
     pub fn step(&mut self) -> Option<Step> {
         loop {
-            // The module hears of a change before the pool acts on it, and before anything else is sent.
+            // The decision module processes a change of the list before the connection pool does, and before
+            // any further request is sent.
             self.news.extend(self.discovery.corrected_starts(&self.turn.clock));
             if !self.news.is_empty() {
                 let news = self.news.remove(0);
@@ -141,7 +145,7 @@
         }
     }
 
-    /// Tells the module of a list.
+    /// Passes a list to the decision module.
     fn tell(&mut self, news: News) -> List {
         let News { kind, entries, listed, unreadable, why } = news;
         for what in &why {
--- a/crates/gradeshunt/src/inbound.rs
+++ b/crates/gradeshunt/src/inbound.rs
@@ -1,7 +1,8 @@
-//! What a client has sent and is still to be worked off, with the time at which each byte of it arrived.
+//! The input buffer of a client, with the arrival times of the unprocessed bytes.
 //!
-//! A client's wait counts from when its request was there, however long the request then stood behind others. So each
-//! range of bytes keeps the time of its arrival, also while it is still in the socket because the ring is full.
+//! A client's wait counts from the arrival of its request, however long the request then queues behind
+//! others. Each range of bytes therefore keeps its arrival time, also while it is still in the socket because
+//! the ring is full.
 
 use std::collections::VecDeque;
 use std::io;
@@ -11,12 +12,13 @@
 
 use crate::ring::{Moved, Ring};
 
-/// Ranges of arrival kept for one connection, so that a client that sends a byte at a time costs no more memory.
+/// Maximum number of arrival ranges per connection. It bounds the memory for a client that sends single
+/// bytes.
 const MAX_ARRIVALS: usize = 64;
-/// Room for arrivals that an empty buffer keeps.
+/// Capacity for arrival ranges that an empty buffer keeps.
 const IDLE_ARRIVALS: usize = 4;
 
-/// A range of the byte stream that arrived within a span of time.
+/// A range of the byte stream, with the time span in which it arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Arrival {
     /// Where the range ends, counted in bytes from the start of the connection.
@@ -26,11 +28,11 @@
     last: Micros,
 }
 
-/// The arrival times of the bytes that are not worked off yet, by ranges.
+/// The arrival times of the unprocessed bytes, by ranges.
 #[derive(Debug, Default)]
 struct Arrivals {
     ranges: VecDeque<Arrival>,
-    /// Bytes of the stream worked off so far.
+    /// Bytes of the stream that have been processed so far.
     consumed: u64,
 }
 
@@ -40,13 +42,13 @@
         self.ranges.back().map_or(self.consumed, |range| range.end)
     }
 
-    /// Bytes up to `end` were there at `at`; those that have a time keep it.
+    /// Records that the bytes up to `end` had arrived at `at`. Bytes that already have a time keep it.
     fn record(&mut self, end: u64, at: Micros) {
         if end <= self.end() {
             return;
         }
         match self.ranges.back_mut() {
-            // What comes later in the stream has not arrived before it.
+            // Later bytes of a stream can't have arrived before earlier ones.
             Some(range) if range.last >= at => range.end = end,
             _ => self.ranges.push_back(Arrival { end, first: at, last: at }),
         }
@@ -55,8 +57,8 @@
         }
     }
 
-    /// Merges the two neighbours that lie closest in time. Their bytes count from the earlier time: a client may get its
-    /// answer a little early, but never after its wait.
+    /// Merges the two neighbouring ranges that are closest in time. Their bytes get the earlier time, so that
+    /// a request may expire a little early, but never after the client's wait.
     fn merge_closest(&mut self) {
         let span = |i: &usize| self.ranges[i + 1].last - self.ranges[*i].first;
         let Some(closest) = (0..self.ranges.len() - 1).min_by_key(span) else { return };
@@ -65,13 +67,13 @@
         (earlier.end, earlier.last) = (later.end, later.last);
     }
 
-    /// When the byte arrived that is the `n`th of those not worked off, counted from one; `None` where it has not yet.
+    /// Returns when the `n`th unprocessed byte (counted from one) arrived, or `None` if it has not yet.
     fn of(&self, n: usize) -> Option<Micros> {
         let end = self.consumed + n as u64;
         self.ranges.iter().find(|range| range.end >= end).map(|range| range.first)
     }
 
-    /// So many bytes are worked off.
+    /// Drops the arrival times of the first `n` bytes, which have been processed.
     fn consume(&mut self, n: usize) {
         self.consumed += n as u64;
         while self.ranges.front().is_some_and(|range| range.end <= self.consumed) {
@@ -83,7 +85,7 @@
     }
 }
 
-/// A client's bytes, in the order in which they came.
+/// The unprocessed bytes of a client and their arrival times.
 #[derive(Default)]
 pub struct Inbound {
     ring: Ring,
@@ -91,31 +93,32 @@
 }
 
 impl Inbound {
-    /// Bytes that are read and not worked off.
+    /// Number of bytes that are read and unprocessed.
     pub fn len(&self) -> usize {
         self.ring.len()
     }
 
-    /// Whether all that was read is worked off.
+    /// Whether all bytes that were read have been processed.
     pub fn is_empty(&self) -> bool {
         self.ring.is_empty()
     }
 
-    /// Whether no more can be read before something is worked off.
+    /// Whether nothing more can be read before some bytes are processed.
     pub fn is_full(&self) -> bool {
         self.ring.is_full()
     }
 
-    /// The bytes that are not worked off, in one piece.
+    /// The unprocessed bytes as one slice.
     pub fn bytes(&mut self) -> &[u8] {
         self.ring.bytes()
     }
 
-    /// Reads once from the socket; what is read was there at `at`, or before where [`Inbound::note_unread`] saw it.
+    /// Reads once from the socket. The bytes count as arrived at `at`, or earlier if [`Inbound::note_unread`]
+    /// saw them.
     ///
     /// # Errors
     ///
-    /// Those of the socket, but for one that would block.
+    /// Errors of the socket, except that it would block.
     pub fn fill(&mut self, socket: &TcpStream, at: Micros) -> io::Result<Moved> {
         let moved = self.ring.fill(socket)?;
         if let Moved::Some(_) = moved {
@@ -125,21 +128,21 @@
         Ok(moved)
     }
 
-    /// Notes that what the socket holds unread was there at `at`. It stays there while the ring is full, and may be read
-    /// much later.
+    /// Records that the unread bytes in the socket had arrived at `at`. They stay there while the ring is
+    /// full, and may be read much later.
     pub fn note_unread(&mut self, socket: &TcpStream, at: Micros) {
-        // A system that can't tell leaves those bytes to the time at which they are read.
+        // If the system can't tell how many there are, they count as arrived when they are read.
         let Ok(unread) = rustix::io::ioctl_fionread(socket) else { return };
         let end = self.arrivals.consumed + self.ring.len() as u64 + unread;
         self.arrivals.record(end, at);
     }
 
-    /// When the first byte arrived that is not worked off; `None` where all is.
+    /// Returns when the first unprocessed byte arrived, or `None` if there is none.
     pub fn first_arrived(&self) -> Option<Micros> {
         self.arrivals.of(1).filter(|_| !self.is_empty())
     }
 
-    /// Works off the first `n` bytes, and tells when the last of them arrived; `None` where none was worked off.
+    /// Removes the first `n` bytes. Returns when the last of them arrived, or `None` if there was none.
     pub fn consume(&mut self, n: usize) -> Option<Micros> {
         let arrived = self.arrivals.of(n).filter(|_| n > 0);
         self.arrivals.consume(n.min(self.ring.len()));
@@ -147,7 +150,7 @@
         arrived
     }
 
-    /// Drops all that was read.
+    /// Drops all bytes that were read.
     pub fn clear(&mut self) {
         self.arrivals.consume(self.ring.len());
         self.ring = Ring::default();
--- a/crates/gradeshunt/src/inbound/tests.rs
+++ b/crates/gradeshunt/src/inbound/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the part named by the folder.
+//! Tests of the arrival times of clients' bytes.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -6,7 +6,7 @@
 use super::*;
 use crate::ring::LARGEST;
 
-/// Two ends of a real connection; the second one does not block.
+/// Returns the two ends of a real connection; the second one is non-blocking.
 fn connection() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("it listens");
@@ -15,7 +15,7 @@
     (client, server)
 }
 
-/// Sends bytes, and reads them at a time.
+/// Sends bytes and reads them at time `at`.
 fn pass(client: &mut TcpStream, server: &TcpStream, inbound: &mut Inbound, bytes: &[u8], at: Micros) {
     client.write_all(bytes).expect("it is open");
     let expected = inbound.len() + bytes.len();
@@ -24,7 +24,7 @@
     }
 }
 
-/// Guards messages in pieces and several in one read: each counts from its own last byte.
+/// Messages that arrive in pieces or several in one read each have the arrival time of their own last byte.
 #[test]
 fn each_message_has_the_time_of_its_last_byte() {
     let (mut client, server) = connection();
@@ -34,12 +34,12 @@
     pass(&mut client, &server, &mut inbound, b"c", 20);
     assert_eq!(inbound.bytes(), b"aabbbccc");
     assert_eq!(inbound.consume(2), Some(10));
-    assert_eq!(inbound.consume(3), Some(30), "its last byte came with the second piece");
-    assert_eq!(inbound.consume(3), Some(30), "nothing arrives before what stands in front of it");
+    assert_eq!(inbound.consume(3), Some(30), "its last byte arrived with the second piece");
+    assert_eq!(inbound.consume(3), Some(30), "no byte arrives before the bytes in front of it");
     assert_eq!(inbound.consume(1), None);
 }
 
-/// Guards what stands in the socket while the ring is full: it keeps the time at which it was seen there.
+/// Bytes that stay in the socket while the ring is full keep the time at which they were seen there.
 #[test]
 fn bytes_that_wait_in_the_socket_have_arrived() {
     let (mut client, server) = connection();
@@ -58,11 +58,12 @@
     while inbound.len() < 3 {
         inbound.fill(&server, 700).expect("it is open");
     }
-    assert_eq!(inbound.consume(2), Some(100), "it was there while the ring was full");
-    assert_eq!(inbound.consume(1), Some(700), "nobody has seen it before");
+    assert_eq!(inbound.consume(2), Some(100), "they arrived while the ring was full");
+    assert_eq!(inbound.consume(1), Some(700), "it was not seen before it was read");
 }
 
-/// Guards the memory that a client takes which sends a byte at a time: it is bounded, and no time is later than the true one.
+/// A client that sends single bytes takes bounded memory, and no recorded arrival time is later than the true
+/// one.
 #[test]
 fn arrivals_are_bounded_and_never_late() {
     let mut arrivals = Arrivals::default();
@@ -74,7 +75,8 @@
     let whole = count as Micros * 10;
     for n in 1..=count {
         let (told, true_time) = (arrivals.of(1).expect("it has arrived"), n as Micros * 10);
-        // Even ranges would be whole / MAX_ARRIVALS wide; merged by pairs, none is over four times that.
+        // Equal ranges would be whole / MAX_ARRIVALS wide; pairwise merging leaves none wider than four times
+        // that.
         let early = true_time - told;
         assert!((0..=4 * whole / MAX_ARRIVALS as Micros).contains(&early), "byte {n}: {early}");
         arrivals.consume(1);
--- a/crates/gradeshunt/src/routing/mod.rs
+++ b/crates/gradeshunt/src/routing/mod.rs
@@ -1,7 +1,8 @@
-//! Where a plain statement goes: to which class, to which group of db hosts, and with how long a wait. Which db host, whether
-//! to try again and what to turn away is the module's to decide, as for statements that come with a routing comment.
+//! Routing of plain statements (those without a routing comment): chooses the class, the group of db hosts
+//! and the wait. The decision module chooses the db host and decides on retries and refusals, as for
+//! statements with a routing comment.
 //!
-//! No I/O and no clock here.
+//! This module does no I/O and has no clock.
 
 pub mod rules;
 
@@ -11,7 +12,7 @@
 use gradeshunt_classing::{Access, Catalogue, Classer, Declared, Key, Told, Verdict};
 use leadmast::{ClassId, GroupId, Micros, ReadLevel, Settings};
 
-/// Who sends statements: what its startup message says.
+/// The identity of a client, as its startup message gives it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Origin {
     pub user: String,
@@ -19,7 +20,7 @@
     pub application_name: String,
 }
 
-/// What a statement has to be for a route.
+/// The conditions of a route; an empty list matches everything.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Match {
     pub access: Vec<Access>,
@@ -29,11 +30,12 @@
     pub databases: Vec<String>,
     pub applications: Vec<String>,
     pub cost_from: f32,
-    /// None: no bound.
+    /// `None` if there is no upper bound.
     pub cost_below: Option<f32>,
 }
 
 impl Match {
+    /// Whether a statement of this origin and verdict fulfils all conditions.
     pub fn holds(&self, origin: &Origin, verdict: &Verdict) -> bool {
         let among = |list: &[String], it: &String| list.is_empty() || list.contains(it);
         let any = |list: &[String], of: &[String]| list.is_empty() || of.iter().any(|it| list.contains(it));
@@ -48,69 +50,70 @@
     }
 }
 
-/// One route.
+/// A rule that sends matching statements to a class and a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     pub name: String,
     pub matches: Match,
     pub class: ClassId,
     pub group: GroupId,
-    /// None: the class's own.
+    /// How long a client waits at most; `None` for the class's deadline.
     pub wait: Option<Micros>,
+    /// Whether the proxy puts a routing comment before the statement.
     pub comment: bool,
 }
 
-/// All that the operators' file says.
+/// The contents of the operators' rules file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
     pub routes: Vec<Route>,
     pub declared: Declared,
+    /// Bytes for the cache of statement shapes.
     pub shapes: usize,
 }
 
-/// Where a statement goes.
+/// The destination of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Routed {
     pub class: ClassId,
     pub group: GroupId,
-    /// How long its client waits.
+    /// How long the client waits at most.
     pub wait: Micros,
-    /// Whether its db hosts want a routing comment.
+    /// Whether the proxy puts a routing comment before the statement.
     pub comment: bool,
-    /// Whether it may change something.
+    /// Whether the statement may write.
     pub writes: bool,
 }
 
-/// What is done with a statement.
+/// How a plain statement is handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
+    /// The statement is sent on.
     Send(Routed),
-    /// There is nothing in it.
+    /// The text holds no statement.
     Empty,
-    /// It would change what follows on the connection; such statements are not served yet.
-    Session {
-        verb: String,
-    },
+    /// The statement would change the state of the session, which is not supported.
+    Session { verb: String },
+    /// The text holds several statements.
     Several,
-    /// No route matches it.
-    NoRoute {
-        access: Access,
-    },
+    /// No route matches the statement.
+    NoRoute { access: Access },
 }
 
-/// What has been decided, since the start.
+/// Counts of statements since the start, by access and by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub read: u64,
     pub write: u64,
     pub session: u64,
     pub unknown: u64,
-    /// Routing comments that named a reading class for what is not proved to be a read.
+    /// Routing comments that named a reading class for a statement that is not known to be a read.
     pub contradictions: u64,
+    /// Statements that no route matched.
     pub unrouted: u64,
 }
 
-/// Decides where statements go.
+/// Routes plain statements by the operators' rules.
 pub struct Router {
     classer: Classer,
     routes: Vec<Route>,
@@ -123,7 +126,7 @@
         Router { classer, routes: rules.routes, counts: Counts::default() }
     }
 
-    /// Decides on a plain statement.
+    /// Classifies a plain statement and decides how it is handled.
     pub fn decide(&mut self, settings: &Settings, origin: &Origin, statement: &str) -> Decision {
         let told = self.classer.class(statement);
         let count = match told.verdict.access {
@@ -136,7 +139,7 @@
         match (told.verdict.statements, told.verdict.access) {
             (Statements::None, _) => Decision::Empty,
             (Statements::Several, _) => Decision::Several,
-            // A copy takes the connection over for its data.
+            // COPY would switch the connection to its data transfer.
             (Statements::One, Access::Session | Access::Write) if told.verdict.verb == "copy" => {
                 Decision::Session { verb: "copy".to_owned() }
             }
@@ -145,10 +148,11 @@
         }
     }
 
+    /// Finds the first route that matches a classified statement.
     fn route(&mut self, settings: &Settings, origin: &Origin, told: &Told) -> Decision {
         let verdict = &*told.verdict;
-        // What may write goes where writes go, whatever a route says: a class whose reads may be had from a replica is
-        // none for it.
+        // A statement that may write is only sent with a writing class, whatever the route's conditions say.
+        // A reading class could send the statement to a replica.
         let fits = |r: &Route| verdict.access == Access::Read || writes(settings, r.class);
         let Some(route) = self.routes.iter().find(|r| r.matches.holds(origin, verdict) && fits(r)) else {
             self.counts.unrouted += 1;
@@ -164,8 +168,9 @@
         })
     }
 
-    /// Where a statement goes whose routing comment names a class: `None` where the comment may stand. Where it names a
-    /// reading class for what is not proved to be a read, the stricter of the two wins, which is the rules'.
+    /// Checks the class that a statement's routing comment names. Returns `None` if the comment is accepted.
+    /// If the comment names a reading class and the statement is not known to be a read, the rules override
+    /// the comment.
     pub fn contradicts(
         &mut self,
         settings: &Settings,
@@ -184,7 +189,7 @@
         Some(self.route(settings, origin, &told))
     }
 
-    /// What has been decided, and how the shapes fare, as figures in text.
+    /// Renders the counters of statements and of the shape cache in the text exposition format.
     pub fn exposition(&self) -> String {
         let (c, t) = (self.counts, self.classer.tally());
         let mut text = String::from("# TYPE app_statements counter\n");
@@ -209,7 +214,7 @@
     }
 }
 
-/// Whether a class is one for writes.
+/// Whether a class is for writes.
 pub fn writes(settings: &Settings, class: ClassId) -> bool {
     settings.classes[class.0].read == ReadLevel::Write
 }
@@ -248,7 +253,7 @@
         functions { reading: "turnout" }
     "#;
 
-    /// Guards writes: no route that fits by its words may send one where a replica could get it.
+    /// Statements that may write never match a route of a reading class, which could send them to a replica.
     #[test]
     fn writes_go_where_writes_go() {
         let text = RULES.replace("plain", "plain-write");
@@ -259,14 +264,14 @@
             _ => None,
         };
         let nobody = Origin::default();
-        assert_eq!(to(&nobody, "SELECT * FROM facts"), Some((0, 2, 900, false)), "a whole table");
+        assert_eq!(to(&nobody, "SELECT * FROM facts"), Some((0, 2, 900, false)), "reads a whole table");
         assert_eq!(to(&nobody, "SELECT data FROM facts WHERE code = 'a'"), Some((1, 1, 2000, false)));
         assert_eq!(to(&nobody, "SELECT turnout(5) FROM votes WHERE a = 1"), Some((1, 1, 2000, false)));
         assert_eq!(to(&counter, "SELECT turnout(5) FROM votes WHERE a = 1"), Some((1, 3, 2000, false)));
         assert_eq!(
             to(&counter, "UPDATE votes SET n = 1"),
             Some((3, 1, 3000, true)),
-            "not to a reading class"
+            "the route to a reading class is skipped"
         );
         assert_eq!(to(&nobody, "SELECT record(5)"), Some((3, 1, 3000, true)));
         assert_eq!(to(&nobody, "FROB"), Some((3, 1, 3000, true)));
@@ -276,7 +281,7 @@
         assert_eq!(decide(" /* x */ ; "), Decision::Empty);
     }
 
-    /// Guards against comments that say less than their statement does.
+    /// A routing comment that names a reading class for a write is overridden by the rules.
     #[test]
     fn the_stricter_wins() {
         let (mut router, settings) = router(&RULES.replace("plain", "plain-write")).expect("rules");
@@ -286,7 +291,7 @@
         assert_eq!(check("/* c=own-read */ SELECT 1", 1), None);
         assert_eq!(check("/* c=tally-write */ DELETE FROM t", 2), None);
         let Some(Decision::Send(routed)) = check("/* c=own-read */ DELETE FROM t", 1) else {
-            panic!("it stands")
+            panic!("the comment is accepted")
         };
         assert_eq!(routed.class, ClassId(3));
         assert!(router.exposition().contains("app_contradictions 1\n"));
@@ -327,7 +332,7 @@
             (String::new(), "no route"),
         ] {
             let complaint = complaint(&text);
-            assert!(complaint.contains(says), "{complaint:?} should hold {says:?}");
+            assert!(complaint.contains(says), "{complaint:?} should contain {says:?}");
         }
     }
 }
--- a/crates/gradeshunt/src/routing/rules.rs
+++ b/crates/gradeshunt/src/routing/rules.rs
@@ -1,4 +1,5 @@
-//! The operators' file, in protobuf's text format. Its schema is `proto/rules.proto`, compiled when the program reads a file.
+//! The operators' rules file, in protobuf's text format. The schema `proto/rules.proto` is compiled when the
+//! program reads a file.
 
 use std::path::Path;
 
@@ -10,12 +11,14 @@
 use super::{writes, Match, Route, Rules};
 
 const SCHEMA: &str = include_str!("../../proto/rules.proto");
+/// Default size of the shape cache.
 const SHAPES_KB: u64 = 4096;
 
-/// What a file says of statements and the names of their classes, without the settings that the classes stand in.
+/// Reads the declared functions and the conditions and class name of each route from a file, without the
+/// settings that define the classes.
 ///
 /// # Errors
-/// As of [`parse`], but of nothing that only the settings tell.
+/// As for [`parse`], except for errors that need the settings to be found.
 pub fn outline(path: &Path) -> Result<(Declared, Vec<(Match, String)>), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     let message = read(&text).map_err(|e| format!("{}:{e}", path.display()))?;
@@ -39,10 +42,10 @@
     })
 }
 
-/// Reads the text of a file.
+/// Parses the text of a rules file and checks it against the settings.
 ///
 /// # Errors
-/// What is wrong with it, in one line, with its place.
+/// The first error as a single line of text, preceded by its line number if it is one of syntax.
 pub fn parse(text: &str, facts: &Facts) -> Result<Rules, String> {
     let message = read(text)?;
     let routes = message.list("route").iter().map(|r| route(r, facts)).collect::<Result<Vec<_>, _>>()?;
@@ -68,7 +71,8 @@
     let class = classes
         .class(&class)
         .ok_or_else(|| format!(" route {name:?}: unknown class {class:?}, expected one of {}", known()))?;
-    // A key would tell a repeat from a second request; plain statements have none.
+    // Without an idempotency key, which plain statements lack, a db host can't tell a repeat from a second
+    // request.
     if writes(&facts.settings, class) && facts.settings.classes[class.0].effect != Effect::Unsafe {
         let class = &classes.classes[class.0];
         return Err(format!(
