--- a/crates/gradeshunt/src/cycle.rs
+++ b/crates/gradeshunt/src/cycle.rs
@@ -1,4 +1,5 @@
-//! The loop: waits until a source is ready or a deadline falls due, and has the proxy's parts work it off.
+//! The event loop: waits until a source is ready or a deadline expires, and has the parts of the proxy
+//! process it.
 
 use std::os::fd::{AsFd, BorrowedFd};
 use std::time::Duration;
@@ -11,43 +12,42 @@
 use crate::transient::retry_while_transient;
 use crate::turn::{Ready, Source};
 
-/// Those who work off what a turn of the loop brings.
+/// The handlers of ready sources and expired deadlines.
 pub trait Parts {
-    /// The control part, which holds the deadlines.
+    /// The control part, which has the deadlines.
     fn core(&mut self) -> &mut Core;
 
-    /// Works off a source that has become ready.
+    /// Processes a source that has become ready.
     fn event(&mut self, source: Source);
 
-    /// Works off a deadline that has fallen due.
+    /// Processes an expired deadline.
     fn due(&mut self, due: Due);
 }
 
-/// The loop of one proxy.
+/// The event loop of a proxy.
 pub struct Cycle {
     event_loop: EventLoop<'static, Ready>,
     ready: Ready,
 }
 
 impl Cycle {
-    /// Opens a poll.
+    /// Opens the poll.
     ///
     /// # Errors
     ///
-    /// Where the system gives none.
+    /// If the system can't create one.
     pub fn open() -> Result<Cycle, String> {
         let event_loop =
             retry_while_transient(|| Ok(EventLoop::try_new()?)).map_err(|e| format!("cannot poll: {e}"))?;
         Ok(Cycle { event_loop, ready: Ready::new() })
     }
 
-    /// The poll, for those who add sources to it.
+    /// The poll, to which the parts add their sources.
     pub fn event_loop(&self) -> &EventLoop<'static, Ready> {
         &self.event_loop
     }
 
-    /// How long a turn may wait for sources before something is due: zero where there is work left, nothing where there
-    /// is no deadline.
+    /// Returns how long a turn may wait for sources: zero if work is left, `None` if there is no deadline.
     pub fn wait(core: &Core) -> Option<Duration> {
         let until = core.turn.deadlines.next();
         let wait = until.map(|at| (at - core.turn.clock.now()).max(0));
@@ -55,11 +55,12 @@
         wait.map(|t| Duration::from_micros(t as u64))
     }
 
-    /// One turn: waits for sources, so long at most, then works off all that is ready and due.
+    /// Runs one turn: waits up to `wait` for sources, then processes all that are ready and all expired
+    /// deadlines.
     ///
     /// # Errors
     ///
-    /// Where the system can't poll.
+    /// If polling fails.
     pub fn turn(&mut self, parts: &mut impl Parts, wait: Option<Duration>) -> Result<(), String> {
         let until = parts.core().turn.deadlines.next();
         self.event_loop.dispatch(wait, &mut self.ready).map_err(|e| format!("cannot poll: {e}"))?;
@@ -80,7 +81,7 @@
         Ok(())
     }
 
-    /// The turn begins; gives what is to be worked off.
+    /// Sets the clocks for a new turn and returns the sources to process.
     fn begin(&mut self, core: &mut Core, until: Option<leadmast::Micros>) -> Vec<Source> {
         if core.turn.clock.observe() {
             info!(core.turn.log, "the wall clock was stepped"; "ms" => core.turn.clock.candidate_step() / 1000);
@@ -94,16 +95,16 @@
 }
 
 impl AsFd for Cycle {
-    /// The poll's own descriptor, which is ready for reading when a source is.
+    /// The poll's own descriptor, which is readable when a source is ready.
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.event_loop.as_fd()
     }
 }
 
-/// The order in which sources of one turn are worked off, 0 first. Operators' calls are few and owed an answer whatever the
-/// load. Discovery comes next: what is sent in this turn may not go to a db host of which the turn has brought that it drains.
-/// Clients come before db hosts: of a client that has left in the turn in which a connection came up for its request, nothing
-/// may be sent on.
+/// Returns the position of a source in the order of a turn, 0 first. Operators' calls come first because they
+/// are few and must be answered under any load. Discovery comes next, so that no request goes to a db host
+/// that starts to drain in the same turn. Clients come before db hosts, so that the request of a client that
+/// has disconnected is not written to a db host connection that is established in the same turn.
 fn rank(source: Source) -> u8 {
     match source {
         Source::Control | Source::Caller(_) => 0,
@@ -118,8 +119,10 @@
     }
 }
 
-/// A source or a deadline of this name is worked off. What comes next in the turn has its own time, but was there as long before:
-/// with the time of the turn's beginning, requests at its end would tell their db hosts what it has taken as time left.
+/// Records that a source or deadline of this kind is processed, and advances the turn's time. Without this,
+/// requests at the end of a long turn would send their db hosts a remaining wait that includes time the turn
+/// has already used. Whatever is processed next has been waiting since before the turn, so `unread` grows by
+/// the same amount.
 fn worked(core: &mut Core, name: &'static str) {
     let now = core.turn.clock.now();
     core.loop_stats.worked(name, now);
--- a/crates/gradeshunt/src/cycle/tests.rs
+++ b/crates/gradeshunt/src/cycle/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the part named by the folder.
+//! Tests of the event loop.
 
 use std::path::Path;
 
@@ -8,14 +8,15 @@
 use super::*;
 use crate::config::Config;
 
-/// A source that takes longer than the slack of the time told to a db host.
+/// A processing time of a source beyond the slack of the remaining wait that is sent to a db host.
 const LONG: Micros = 60_000;
 
-/// Parts of which the operators' calls take long, and file work looks at the clock.
+/// Parts that take long to process an operator's call and record the time when they process a file operation.
 struct Slow {
     core: Core,
-    /// By how much the time of the turn was behind when file work was worked off.
+    /// How far the turn's time was behind the clock when the file operation was processed.
     behind: Option<Micros>,
+    /// The time since which input of the file operation may have been unread.
     arrived: Option<Micros>,
 }
 
@@ -41,10 +42,12 @@
     fn due(&mut self, _: Due) {}
 }
 
-/// Guards the time told: requests at the end of a long turn must not tell the time of its beginning.
+/// Requests at the end of a long turn use the current time and not that of the turn's start; otherwise their
+/// db hosts would be sent too long a remaining wait.
 #[test]
 fn time_goes_on_within_a_turn() {
-    let mut config = Config::load(Some(Path::new("../../examples/config.json"))).expect("the example");
+    let mut config =
+        Config::load(Some(Path::new("../../examples/config.json"))).expect("the example is readable");
     let mut cycle = Cycle::open().expect("a poll");
     let core = Core::new(&mut config, cycle.event_loop(), Logger::root(Discard, o!())).expect("a core");
     let mut parts = Slow { core, behind: None, arrived: None };
--- a/crates/gradeshunt/src/deadlines.rs
+++ b/crates/gradeshunt/src/deadlines.rs
@@ -1,4 +1,4 @@
-//! All deadlines of the proxy, in one sorted structure that is swept each turn.
+//! All deadlines of the proxy, in one sorted set from which each turn takes those that have expired.
 
 use std::collections::BTreeSet;
 
@@ -6,59 +6,59 @@
 
 use crate::ids::{AttemptId, CallId, CallerId, ServerId, SessionId};
 
-/// What falls due.
+/// The kind of a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
-    /// A timer of the module.
+    /// A timer of the decision module.
     Module(TimerTag),
-    /// A request whose final answer is overdue: the module should have given it long ago.
+    /// A request that the decision module should have answered long ago.
     Overdue(RequestId),
-    /// An attempt that has waited long enough.
+    /// The timeout of an attempt.
     Attempt(AttemptId),
-    /// A request whose try at another proxy has come to nothing may be sent on again.
+    /// A request that could not be forwarded to another proxy may be forwarded again.
     SendOn(RequestId),
-    /// A probe that has.
+    /// The timeout of a probe.
     Probe(MemberId),
-    /// Connections to a db host for which the system lacked something are tried again.
+    /// Retry of connects to a db host that failed for want of a system resource.
     Connect(MemberId),
-    /// A db host connection that should be up by now, or has stood idle long enough.
+    /// The connect timeout or idle timeout of a db host connection.
     Server(ServerId),
-    /// A client that should have sent its startup message by now, or read its last answer.
+    /// The timeout of a client's message or of closing its connection.
     Session(SessionId),
-    /// A call to discovery that is silent.
+    /// The timeout of a call to discovery.
     Call(CallId),
-    /// The watch of discovery is opened anew.
+    /// The watch on discovery is opened again.
     Reopen,
-    /// An operator that should have made its call by now, or closed.
+    /// The timeout of an operator's call or of closing its connection.
     Caller(CallerId),
-    /// Clients' connections that could not be accepted are tried again.
+    /// Retry of a failed accept of clients.
     Accept,
-    /// Other proxies' connections that could not be accepted are tried again.
+    /// Retry of a failed accept of other proxies.
     AcceptPeers,
-    /// Operators' connections that could not be accepted are tried again.
+    /// Retry of a failed accept of operators.
     AcceptCallers,
-    /// The folder that the processes of this proxy share is looked at.
+    /// Check of the folder that the processes of this proxy share.
     Look,
-    /// A new process waits no longer to see that folder.
+    /// A new process starts without having seen the shared folder.
     Begin,
-    /// A new process waits no longer for discovery before it serves beside another.
+    /// A new process next to another one starts to serve, or checks again if it knows no db hosts yet.
     Serve,
-    /// Idle clients are looked over.
+    /// Scan for idle clients.
     Reap,
-    /// The listener closes after SIGTERM.
+    /// Close of the listener after SIGTERM.
     CloseListener,
-    /// The sites are looked at.
+    /// Check of the sites.
     Sites,
-    /// A line in the log.
+    /// Summary line in the log.
     Summary,
-    /// What is still open after SIGTERM is answered.
+    /// After SIGTERM: all requests still in progress get an answer.
     LastAnswers,
-    /// The last moment at which the program leaves after SIGTERM.
+    /// After SIGTERM: the time by which the process exits.
     Leave,
 }
 
 impl Due {
-    /// Its name in the log and the figures.
+    /// The kind of deadline, as the log and the metrics name it.
     pub fn name(self) -> &'static str {
         match self {
             Due::Module(_) => "module's timers",
@@ -79,7 +79,7 @@
     }
 }
 
-/// The sorted deadlines.
+/// The set of deadlines, sorted by time.
 #[derive(Default)]
 pub struct Deadlines(BTreeSet<(Micros, Due)>);
 
@@ -92,12 +92,12 @@
         self.0.remove(&(at, due));
     }
 
-    /// When the next one falls due.
+    /// Returns the time of the earliest deadline.
     pub fn next(&self) -> Option<Micros> {
         self.0.first().map(|d| d.0)
     }
 
-    /// Takes the next one that is due by now.
+    /// Removes and returns the earliest deadline if it has expired.
     pub fn pop(&mut self, now: Micros) -> Option<Due> {
         let first = *self.0.first().filter(|d| d.0 <= now)?;
         self.0.remove(&first);
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -51,9 +51,12 @@
     let mut frontend = Frontend::new(facts.settings, facts.names);
     frontend.limit(&mut turn, 10, 1 << 20);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("it listens");
-    let (socket, _) = listener.accept().expect("it has connected");
-    frontend.accept_session(&mut turn, socket, gradeshunt_placement::Source::Client).expect("it is accepted");
+    let client = TcpStream::connect(listener.local_addr().expect("an address"))
+        .expect("the listener accepts connections");
+    let (socket, _) = listener.accept().expect("the client has connected");
+    frontend
+        .accept_session(&mut turn, socket, gradeshunt_placement::Source::Client)
+        .expect("the session is accepted");
     let id = *frontend.sessions.first_key_value().expect("a session").0;
     (frontend, turn, client, id, poll)
 }
@@ -65,11 +68,11 @@
     let (mut frontend, mut turn, mut client, id, _poll) = one_client();
     // Small socket buffers, so that the answer takes many rounds.
     let socket = &frontend.sessions[&id].polled.socket;
-    socket2::SockRef::from(&**socket).set_send_buffer_size(32 * 1024).expect("it can be set");
-    socket2::SockRef::from(&client).set_recv_buffer_size(32 * 1024).expect("it can be set");
+    socket2::SockRef::from(&**socket).set_send_buffer_size(32 * 1024).expect("the buffer size can be set");
+    socket2::SockRef::from(&client).set_recv_buffer_size(32 * 1024).expect("the buffer size can be set");
     let mut sent = 0;
     while frontend.sessions[&id].outbound.len() <= LARGEST / 2 {
-        let s = frontend.sessions.get_mut(&id).expect("it is open");
+        let s = frontend.sessions.get_mut(&id).expect("the connection is open");
         assert!(s.outbound.push(&[b'x'; LONGEST_ANSWER]));
         sent += LONGEST_ANSWER;
         frontend.flush(&mut turn, id);
@@ -85,7 +88,7 @@
         frontend.session_due(&mut turn, id);
         let before = frontend.sessions[&id].outbound.len();
         while frontend.sessions[&id].outbound.len() == before {
-            read += client.read(&mut piece).expect("it is open");
+            read += client.read(&mut piece).expect("the connection is open");
             frontend.flush(&mut turn, id);
         }
     }
@@ -93,18 +96,18 @@
     turn.now += LINGER - 1;
     frontend.session_due(&mut turn, id);
     while read < sent {
-        read += client.read(&mut piece).expect("it is open");
+        read += client.read(&mut piece).expect("the connection is open");
     }
     assert_eq!((read, client.read(&mut piece).expect("the end of the stream, not a reset")), (sent, 0));
 
     let (mut frontend, mut turn, _client, id, _poll) = one_client();
     while frontend.sessions[&id].outbound.is_empty() {
-        let s = frontend.sessions.get_mut(&id).expect("it is open");
+        let s = frontend.sessions.get_mut(&id).expect("the connection is open");
         assert!(s.outbound.push(&[b'x'; LONGEST_ANSWER]));
         frontend.flush(&mut turn, id);
     }
     frontend.close_with(&mut turn, id, Writer::default(), CloseReason::Idle);
-    turn.now = frontend.sessions[&id].due.expect("it has a deadline");
+    turn.now = frontend.sessions[&id].due.expect("the session has a deadline");
     frontend.session_due(&mut turn, id);
     assert!(frontend.sessions.is_empty(), "a client that reads nothing is closed");
 }
@@ -120,7 +123,7 @@
     let mut woken = 0;
     loop {
         let mut ready = Ready::new();
-        poll.dispatch(Some(std::time::Duration::ZERO), &mut ready).expect("it polls");
+        poll.dispatch(Some(std::time::Duration::ZERO), &mut ready).expect("the poll works");
         if ready.is_empty() {
             break;
         }
@@ -131,7 +134,7 @@
     assert!(matches!(frontend.sessions[&id].stage, Stage::Lingering));
     drop(client);
     let mut ready = Ready::new();
-    poll.dispatch(None, &mut ready).expect("it polls");
+    poll.dispatch(None, &mut ready).expect("the poll works");
     frontend.ready(&mut turn, &mut exchange, id);
     assert!(frontend.sessions.is_empty(), "the session closes after the client");
 }
@@ -145,7 +148,7 @@
         let mut exchange = Exchange::new(frontend.settings.clone(), Vec::new(), 7, 0);
         frontend.close_with(&mut turn, id, Writer::default(), reason);
         assert_eq!(client.read(&mut [0]).expect("a close"), 0);
-        client.write_all(&read_of(1, 1_000)).expect("it is half open");
+        client.write_all(&read_of(1, 1_000)).expect("the connection is still open for writing");
         while frontend.sessions[&id].polled.is_quiet() {}
         frontend.ready(&mut turn, &mut exchange, id);
         assert!(!frontend.sessions[&id].polled.is_quiet(), "the request was read");
@@ -189,7 +192,7 @@
     fn send(&mut self, at: Micros, bytes: &[u8]) {
         use std::io::Write;
         self.turn.now = at;
-        self.client.write_all(bytes).expect("it is open");
+        self.client.write_all(bytes).expect("the connection is open");
         while self.frontend.sessions[&self.id].polled.is_quiet() {}
         self.frontend.ready(&mut self.turn, &mut self.exchange, self.id);
     }
@@ -289,7 +292,7 @@
 fn pipeline_of_a_client_that_left_is_dropped() {
     let mut pipeline = Pipeline::begin();
     pipeline.send(10_000, &read_of(1, 100));
-    pipeline.client.shutdown(Shutdown::Both).expect("it is open");
+    pipeline.client.shutdown(Shutdown::Both).expect("the connection is open");
     while !pipeline.frontend.sessions[&pipeline.id].polled.has_hung_up() {}
     pipeline.frontend.ready(&mut pipeline.turn, &mut pipeline.exchange, pipeline.id);
     assert!(pipeline.frontend.sessions.is_empty() && pipeline.frontend.owners.is_empty());
@@ -322,6 +325,6 @@
     let mut pipeline = Pipeline::begin();
     pipeline.send(STOPPED, &read_of(1, 1_000)[..30]);
     pipeline.expired(1_100_000);
-    let due = pipeline.frontend.sessions[&pipeline.id].due.expect("it has a deadline");
+    let due = pipeline.frontend.sessions[&pipeline.id].due.expect("the session has a deadline");
     assert_eq!(due, STOPPED + super::session::MESSAGE_TIMEOUT);
 }
--- a/crates/gradeshunt/src/inbound/tests.rs
+++ b/crates/gradeshunt/src/inbound/tests.rs
@@ -9,18 +9,19 @@
 /// Returns the two ends of a real connection; the second one is non-blocking.
 fn connection() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("it listens");
-    let (server, _) = listener.accept().expect("it has connected");
-    server.set_nonblocking(true).expect("it can be set");
+    let client = TcpStream::connect(listener.local_addr().expect("an address"))
+        .expect("the listener accepts connections");
+    let (server, _) = listener.accept().expect("the client has connected");
+    server.set_nonblocking(true).expect("the socket can be made non-blocking");
     (client, server)
 }
 
 /// Sends bytes and reads them at time `at`.
 fn pass(client: &mut TcpStream, server: &TcpStream, inbound: &mut Inbound, bytes: &[u8], at: Micros) {
-    client.write_all(bytes).expect("it is open");
+    client.write_all(bytes).expect("the connection is open");
     let expected = inbound.len() + bytes.len();
     while inbound.len() < expected {
-        inbound.fill(server, at).expect("it is open");
+        inbound.fill(server, at).expect("the connection is open");
     }
 }
 
@@ -48,15 +49,15 @@
         pass(&mut client, &server, &mut inbound, &[b'x'; 1024], 5);
     }
     assert!(inbound.is_full());
-    let unread = || rustix::io::ioctl_fionread(&server).expect("the system tells");
-    client.write_all(b"yy").expect("it is open");
+    let unread = || rustix::io::ioctl_fionread(&server).expect("FIONREAD is supported");
+    client.write_all(b"yy").expect("the connection is open");
     while unread() < 2 {}
     inbound.note_unread(&server, 100);
-    client.write_all(b"z").expect("it is open");
+    client.write_all(b"z").expect("the connection is open");
     while unread() < 3 {}
     assert_eq!(inbound.consume(LARGEST), Some(5));
     while inbound.len() < 3 {
-        inbound.fill(&server, 700).expect("it is open");
+        inbound.fill(&server, 700).expect("the connection is open");
     }
     assert_eq!(inbound.consume(2), Some(100), "they arrived while the ring was full");
     assert_eq!(inbound.consume(1), Some(700), "it was not seen before it was read");
@@ -74,7 +75,7 @@
     }
     let whole = count as Micros * 10;
     for n in 1..=count {
-        let (told, true_time) = (arrivals.of(1).expect("it has arrived"), n as Micros * 10);
+        let (told, true_time) = (arrivals.of(1).expect("the byte has arrived"), n as Micros * 10);
         // Equal ranges would be whole / MAX_ARRIVALS wide; pairwise merging leaves none wider than four times
         // that.
         let early = true_time - told;
--- a/crates/gradeshunt/src/pg.rs
+++ b/crates/gradeshunt/src/pg.rs
@@ -1,4 +1,5 @@
-//! PostgreSQL's protocol, version 3: messages in and out, and the comment before a statement. No I/O here.
+//! PostgreSQL's wire protocol, version 3: parsing and building messages, and the routing comment before a
+//! statement. This module does no I/O.
 
 use std::ops::Range;
 
@@ -6,22 +7,22 @@
 
 use crate::ring::LARGEST;
 
-/// The whole of an empty query.
+/// Size in bytes of a Query message with an empty statement.
 pub const EMPTY_QUERY_SIZE: usize = 6;
-/// Longest message taken, its length field included; a ring holds one with its type byte and an empty query before it.
+/// Maximum size of a message with its type byte, so that a ring holds one message behind an empty query.
 pub const LONGEST_MESSAGE: usize = LARGEST - EMPTY_QUERY_SIZE - 1;
-/// Longest row that is taken whole before any of it is passed on, and longest one at all, with their framing.
+/// Maximum size with framing of a row that is received whole before any of it is passed on, and of any row.
 pub const WHOLE_ROW: usize = 64 * 1024 + 64;
 pub const LONGEST_ROW: usize = 4 * 1024 * 1024 + 64;
-/// Longest answer that is taken whole, with what stands around its row.
+/// Maximum size of an answer that is received whole, including the messages around its row.
 pub const LONGEST_ANSWER: usize = 96 * 1024;
-/// Longest startup packet, as in PostgreSQL.
+/// Maximum size of a startup packet, as in PostgreSQL.
 const LONGEST_STARTUP: usize = 10_000;
 
-/// Longest id taken: those of open requests are kept.
+/// Maximum length of a request id, which bounds the memory for the ids of requests in progress.
 const LONGEST_ID: usize = 64;
 
-/// A message's type byte and length field.
+/// Size of a message's type byte and length field.
 const HEADER: usize = 5;
 
 const PROTOCOL_3: u32 = 3 << 16;
@@ -29,7 +30,7 @@
 const SSL_REQUEST: u32 = (1234 << 16) | 5679;
 const GSSENC_REQUEST: u32 = (1234 << 16) | 5680;
 
-/// SQLSTATEs that mean something on this path.
+/// SQLSTATE codes that the proxy sends or recognizes.
 pub mod sqlstate {
     pub const PROTOCOL_VIOLATION: &str = "08P01";
     pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
@@ -40,15 +41,17 @@
     pub const CANNOT_CONNECT_NOW: &str = "57P03";
     pub const SNAPSHOT_TOO_OLD: &str = "72000";
     pub const SYSTEM_ERROR: &str = "58000";
-    /// Invalid authorization: whoever connects is none that may.
+    /// Invalid authorization: the client is not a proxy that may connect at this address.
     pub const INVALID_AUTHORIZATION: &str = "28000";
-    /// A proxy ends, and has not read what another one sends it. No code of PostgreSQL's: a db host's must not be taken for it.
+    /// A proxy is stopping and has not read what another proxy sent. PostgreSQL has no such code, so an error
+    /// of a db host can't be mistaken for it.
     pub const PROXY_LEAVING: &str = "PX001";
-    /// Insufficient privilege: the operators' rules let no such statement through.
+    /// Insufficient privilege: no route of the operators' rules accepts the statement.
     pub const NO_ROUTE: &str = "42501";
 
-    /// Whether an error is the statement's own fault, and so the same at any db host: unsupported, wrong
-    /// cardinality, data, constraints, syntax and access, check options, errors raised by functions.
+    /// Whether an error comes from the statement itself, so that every db host would return it: feature not
+    /// supported, cardinality, data, constraint, syntax or access, check option, or an error raised by a
+    /// function.
     pub fn is_verdict(code: &str) -> bool {
         ["0A", "21", "22", "23", "42", "44", "P0"].iter().any(|class| code.starts_with(class))
     }
@@ -61,18 +64,17 @@
 /// The first packet of a connection; it has no type byte.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Startup {
-    /// A session begins. `minor` is the minor version asked for; `options` are `_pq_.` options asked for, `parameters` all
-    /// that the client says of itself.
+    /// Start of a session: the requested minor version, the requested `_pq_.` options, and all parameters.
     Session { minor: u16, options: Vec<String>, parameters: Vec<(String, String)> },
-    /// Encryption is asked for.
+    /// A request for TLS or GSSAPI encryption.
     Encryption,
-    /// Another connection's query is to be cancelled.
+    /// A request to cancel another connection's query.
     Cancel { process: u32, secret: u32 },
-    /// A protocol version that is not served.
+    /// A protocol version that is not supported.
     Unsupported,
 }
 
-/// One message with its type byte; `size` counts all its bytes.
+/// One message; `size` counts all of its bytes, including the type byte.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Message<'a> {
     pub tag: u8,
@@ -80,7 +82,7 @@
     pub size: usize,
 }
 
-/// Reads a startup packet; `None` until it is whole.
+/// Parses a startup packet and returns it with its size, or `None` until it is complete.
 pub fn startup(bytes: &[u8]) -> Result<Option<(Startup, usize)>, Malformed> {
     let Some(size) = be32(bytes, 0).map(|n| n as usize) else { return Ok(None) };
     if !(8..=LONGEST_STARTUP).contains(&size) {
@@ -115,18 +117,19 @@
     Ok(Some((startup, size)))
 }
 
-/// What clients may send, and what db hosts may.
+/// The types of messages that clients may send, and those that db hosts may send.
 pub const FRONTEND: &[u8] = b"QXSPBDECHFdcf";
 pub const BACKEND: &[u8] = b"RSKNvZETDCAI";
 
-/// Reads a message of one of the kinds in `tags`; `None` until it is whole. Noise is known by its first bytes:
-/// nobody waits for as much as its length field claims.
+/// Parses a message of one of the types in `tags`; returns `None` until it is complete. Invalid input fails
+/// by its header, so that nobody waits for as many bytes as its length field claims.
 pub fn message<'a>(bytes: &'a [u8], tags: &[u8]) -> Result<Option<Message<'a>>, Malformed> {
     let Some((tag, size)) = header_up_to(bytes, tags, LONGEST_MESSAGE)? else { return Ok(None) };
     Ok(bytes.get(HEADER..size).map(|body| Message { tag, body, size }))
 }
 
-/// The type and the size of a message of one of the kinds in `tags`, which may be a long row; `None` until they have come.
+/// Returns the type and size of a message of one of the types in `tags`, which may be a long row; `None`
+/// until its header is complete.
 pub fn header(bytes: &[u8], tags: &[u8]) -> Result<Option<(u8, usize)>, Malformed> {
     header_up_to(bytes, tags, LONGEST_ROW)
 }
@@ -144,8 +147,8 @@
     Ok(Some((*tag, size)))
 }
 
-/// The size of a DataRow of one column that is longer than [`WHOLE_ROW`], once its header has come; `None` where it
-/// has not, or where something else begins here.
+/// Returns the size of a DataRow of one column that is larger than [`WHOLE_ROW`]. Returns `None` while its
+/// header is incomplete, and for any other message.
 pub fn long_row(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     let (Some(b'D'), Some(length), Some(value)) = (bytes.first(), be32(bytes, 1), be32(bytes, 7)) else {
         return Ok(None);
@@ -160,7 +163,7 @@
     }
 }
 
-/// The text of a body that holds one string and nothing else.
+/// Returns the text of a message body that consists of a single string.
 pub fn string(body: &[u8]) -> Result<&[u8], Malformed> {
     match body.split_last() {
         Some((0, text)) if !text.contains(&0) => Ok(text),
@@ -168,8 +171,8 @@
     }
 }
 
-/// The name and value of a ParameterStatus; nothing where it can't be read. It comes beside an answer and
-/// must not spoil it.
+/// Returns the name and value of a ParameterStatus, or `None` if it can't be parsed. This is no error, since
+/// the message may arrive within a valid answer.
 pub fn parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let mut parts = std::str::from_utf8(body).ok()?.split('\0');
     match (parts.next(), parts.next(), parts.next(), parts.next()) {
@@ -178,8 +181,9 @@
     }
 }
 
-/// The SQLSTATE of an ErrorResponse that is one throughout: fields of a letter and a string each, and a zero behind the
-/// last. Clients are handed it as it came, so what no client can read must not pass for an error.
+/// Returns the SQLSTATE of an ErrorResponse and checks its whole body: fields of a letter and a string each,
+/// and a zero byte after the last. Clients receive the message unchanged, so one that a client can't parse is
+/// rejected.
 pub fn error_code(body: &[u8]) -> Result<&str, Malformed> {
     let invalid = Malformed("invalid ErrorResponse");
     let text = std::str::from_utf8(body).map_err(|_| Malformed("ErrorResponse that is not UTF-8"))?;
@@ -195,17 +199,17 @@
     code.filter(is_code).ok_or(Malformed("ErrorResponse without a code"))
 }
 
-/// The first column of a DataRow.
+/// Returns the value of a DataRow of one column.
 pub fn first_column(body: &[u8]) -> Result<&[u8], Malformed> {
     check_row(body)?;
     let length = be32(body, 2).unwrap_or(0) as usize;
     body.get(6..6 + length).ok_or(Malformed("DataRow without a value"))
 }
 
-/// Whether a DataRow is whole: one column that fills it exactly.
+/// Checks that a DataRow has one column that fills the message exactly.
 pub fn check_row(body: &[u8]) -> Result<(), Malformed> {
     let length = match be32(body, 2) {
-        // Minus one stands for NULL.
+        // A length of -1 means NULL.
         Some(u32::MAX) => Some(0),
         length => length.map(|n| n as usize),
     };
@@ -216,7 +220,7 @@
     }
 }
 
-/// Whether a RowDescription describes one column: its name, then 18 bytes on its type.
+/// Checks that a RowDescription describes one column: its name, then 18 bytes about its type.
 pub fn check_description(body: &[u8]) -> Result<(), Malformed> {
     let name = body.strip_prefix(&[0, 1]).and_then(|b| b.iter().position(|b| *b == 0));
     if name.is_some_and(|n| body.len() == 2 + n + 1 + 18) {
@@ -231,7 +235,7 @@
     Some(u32::from_be_bytes([b[0], b[1], b[2], b[3]]))
 }
 
-/// Builds messages.
+/// Builds messages; each method appends one or more and returns the writer.
 #[derive(Default)]
 pub struct Writer(pub Vec<u8>);
 
@@ -244,7 +248,7 @@
         self
     }
 
-    /// The reply to a startup message, up to and with the first ReadyForQuery.
+    /// Appends the reply to a startup message, up to and including the first ReadyForQuery.
     pub fn startup_reply(self, process: u32, secret: u32) -> Self {
         let mut w = self.message(b'R', &[&0u32.to_be_bytes()]);
         let parameters = [
@@ -262,23 +266,26 @@
         w.message(b'K', &[&process.to_be_bytes(), &secret.to_be_bytes()]).ready()
     }
 
+    /// Appends NegotiateProtocolVersion: only minor version 0 and none of these options are supported.
     pub fn negotiate(self, options: &[String]) -> Self {
         let mut names = Vec::new();
         options.iter().for_each(|o| names.extend(o.bytes().chain([0])));
         self.message(b'v', &[&0u32.to_be_bytes(), &(options.len() as u32).to_be_bytes(), &names])
     }
 
+    /// Appends ReadyForQuery, outside a transaction.
     pub fn ready(self) -> Self {
         self.message(b'Z', &[b"I"])
     }
 
+    /// Appends an ErrorResponse.
     pub fn error(self, severity: &str, code: &str, text: &str, detail: Option<&str>) -> Self {
         let detail = detail.map(|d| format!("D{d}\0")).unwrap_or_default();
         let fields = format!("S{severity}\0V{severity}\0C{code}\0M{text}\0{detail}\0");
         self.message(b'E', &[fields.as_bytes()])
     }
 
-    /// The proxy's own first packet on a db host connection.
+    /// Appends the startup packet that the proxy sends on its own connections.
     pub fn startup(mut self, user: &str, database: &str, application_name: Option<&str>) -> Self {
         let application_name = application_name.map(|name| format!("application_name\0{name}\0"));
         let application_name = application_name.unwrap_or_default();
@@ -289,6 +296,7 @@
         self
     }
 
+    /// Appends a Query message whose statement is the concatenation of `parts`.
     pub fn query(self, parts: &[&[u8]]) -> Self {
         let mut all = parts.to_vec();
         all.push(b"\0");
@@ -296,8 +304,8 @@
     }
 }
 
-/// The time after which a refused request may come again: the whole milliseconds in the field D of an ErrorResponse, where
-/// there are any.
+/// Returns the time after which a refused request may be sent again: the integer milliseconds in the detail
+/// field of an ErrorResponse, if it holds any.
 pub fn retry_after(error: &[u8]) -> Option<Micros> {
     let fields = error.get(5..)?.split(|b| *b == 0);
     let detail = fields.filter_map(|f| f.strip_prefix(b"D")).next()?;
@@ -305,26 +313,29 @@
     Some(Micros::from(ms) * 1000)
 }
 
-/// What the comment before a statement says.
+/// The contents of a routing comment.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Comment<'a> {
-    /// The request's id: one that is open has another client waiting for it.
+    /// The request's id, unique among requests in progress.
     pub id: &'a str,
-    /// Whether an idempotency key stands there.
+    /// Whether the comment has an idempotency key.
     pub keyed: bool,
     pub class: &'a str,
-    /// The tenant whose it is.
+    /// The tenant to which the request belongs.
     pub tenant: Option<&'a str>,
-    /// The client's wait in milliseconds, and where in the statement it stands.
+    /// How long the client waits at most, in milliseconds.
     pub wait_ms: u32,
+    /// The bytes of the statement that hold the digits of `wait_ms`.
     pub wait_at: Range<usize>,
+    /// Whether the client sends this request again.
     pub repeat: bool,
+    /// The number of the group of db hosts.
     pub cluster: u64,
-    /// The position that the read has to see, in Unix milliseconds.
+    /// The time of the commit that the read must see, in Unix milliseconds.
     pub after: Option<i64>,
 }
 
-/// Parses the comment that leads a statement: `/* name=value,name=value */`.
+/// Parses the routing comment at the start of a statement: `/* name=value,name=value */`.
 pub fn comment(statement: &str) -> Result<Comment<'_>, String> {
     let start = statement.len() - statement.trim_start().len();
     let inner = statement[start..].strip_prefix("/*").and_then(|s| s.split_once("*/"));
@@ -350,7 +361,7 @@
             "r" => repeat = value == "1",
             "cluster" => cluster = Some(value.parse().map_err(bad)?),
             "after" => after = Some(value.parse().map_err(bad)?),
-            // What later versions may add goes on as it is.
+            // Unknown names, which later versions may add, are passed on unchanged.
             _ => {}
         }
     }
@@ -361,7 +372,7 @@
     Ok(Comment { id, keyed, class, tenant, wait_ms, wait_at, repeat, cluster, after })
 }
 
-/// The first quoted literal: it names the session.
+/// Returns the first quoted literal after the comment; it identifies the session.
 pub fn first_literal(statement: &str) -> Option<&str> {
     let rest = statement.split_once("*/").map_or(statement, |s| s.1);
     rest.split('\'').nth(1)
--- a/crates/gradeshunt/src/pg/tests.rs
+++ b/crates/gradeshunt/src/pg/tests.rs
@@ -1,8 +1,9 @@
-//! Tests of the part named by the folder.
+//! Tests of the parsing of messages and routing comments.
 
 use super::*;
 
-/// Guards the rewriting of `d`: the span must be its digits, wherever it stands.
+/// The span of the wait covers exactly the digits of `d`, wherever `d` is in the comment, so that they can be
+/// rewritten.
 #[test]
 fn finds_the_wait() {
     let s =
@@ -13,7 +14,7 @@
     assert_eq!(first_literal(s), Some("ab"));
 }
 
-/// Guards against statements that would be routed on guesses.
+/// Statements whose comment lacks a required value are refused and not routed by a guess.
 #[test]
 fn refuses_what_it_cannot_route() {
     for s in [
@@ -28,7 +29,7 @@
     }
 }
 
-/// Guards clients: an error that is cut, torn or no error at all is none.
+/// Truncated or malformed errors are rejected, since clients could not parse them.
 #[test]
 fn takes_only_whole_errors() {
     let whole = b"SERROR\0VERROR\0CXX000\0Mno\0\0";
@@ -49,7 +50,7 @@
     odd.into_iter().for_each(|e| assert!(error_code(e).is_err(), "{}", e.escape_ascii()));
 }
 
-/// Guards the length fields: nothing outside may make the proxy buffer or read without bound.
+/// Length fields are bounded, so that no client or db host can make the proxy buffer or read without limit.
 #[test]
 fn bounds_lengths() {
     assert!(message(&[b'Q', 0, 0, 0, 3], FRONTEND).is_err());
@@ -64,7 +65,7 @@
         |length: u32, value: u32| [b"D", &length.to_be_bytes()[..], &[0, 1], &value.to_be_bytes()].concat();
     assert_eq!(long_row(&header(100_010, 100_000)), Ok(Some(100_011)));
     assert_eq!(long_row(&header(100_010, 100_000)[..10]), Ok(None));
-    assert_eq!(long_row(&header(1010, 1000)), Ok(None), "it is taken whole");
+    assert_eq!(long_row(&header(1010, 1000)), Ok(None), "a short row is received whole");
     assert!(long_row(&header(100_010, 100_001)).is_err());
     assert!(long_row(&header(3_000_000_010, 3_000_000_000)).is_err());
     assert!(first_column(&[0, 1, 0, 0, 0, 1, 7]) == Ok(&[7]));
--- a/crates/gradeshunt/src/ring.rs
+++ b/crates/gradeshunt/src/ring.rs
@@ -1,4 +1,4 @@
-//! The ring buffer that each connection has for each direction.
+//! The ring buffer of a connection, one for each direction.
 
 use std::io::{self, IoSlice, IoSliceMut, Read, Write};
 use std::net::TcpStream;
@@ -7,22 +7,22 @@
 
 use crate::memory::Held;
 
-/// A ring starts at this size,
+/// Initial size of a ring's buffer in bytes.
 pub const SMALL: usize = 2 * 1024;
-/// and grows up to this one: the longest message, and an empty query before it.
+/// Maximum size of a ring's buffer in bytes: the longest message with an empty query before it.
 pub const LARGEST: usize = 256 * 1024;
 
-/// How often a call is made for which the system lacks memory, before its connection counts as broken.
+/// How often a system call is retried that fails for want of memory, before its connection counts as broken.
 const MOST_WANTS: usize = 64;
 
-/// What one read or write of the socket came to.
+/// The result of one read or write of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Moved {
-    /// So many bytes.
+    /// This many bytes moved.
     Some(usize),
-    /// Nothing now: the socket would block, or the ring has no room or no bytes.
+    /// No byte moved: the socket would block, or the ring is full (read) or empty (write).
     Nothing,
-    /// The peer has ended its sending.
+    /// The peer has shut down its sending side.
     End,
 }
 
@@ -48,7 +48,7 @@
         self.len >= LARGEST
     }
 
-    /// Appends bytes; false, with nothing taken, where they don't fit.
+    /// Appends all bytes, or none and returns false if they don't fit.
     #[must_use]
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         if self.len + bytes.len() > LARGEST {
@@ -63,23 +63,24 @@
         true
     }
 
-    /// Makes room for so many bytes in all, where more than a few are about to come.
+    /// Grows the buffer to hold `size` bytes in total, if more than a few are expected.
     pub fn reserve(&mut self, size: usize) {
         self.grow(size);
     }
 
+    /// Removes the first `n` bytes.
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
         self.head = if self.len == 0 { 0 } else { (self.head + n) % self.buf.len() };
-        // Most connections are idle most of the time: they must not keep what their largest message took.
+        // Most connections are idle most of the time, so an empty ring frees the memory of a large message.
         if self.len == 0 && self.buf.len() > SMALL {
             self.buf = Vec::new();
             self.held.set(0);
         }
     }
 
-    /// All bytes in one piece.
+    /// All bytes as one slice.
     pub fn bytes(&mut self) -> &[u8] {
         if self.head + self.len > self.buf.len() {
             self.buf.rotate_left(self.head);
@@ -88,7 +89,7 @@
         &self.buf[self.head..self.head + self.len]
     }
 
-    /// Reads once from the socket, into what room there is.
+    /// Reads once from the socket into the free space.
     pub fn fill(&mut self, mut socket: &TcpStream) -> io::Result<Moved> {
         if self.is_full() {
             return Ok(Moved::Nothing);
@@ -138,7 +139,7 @@
         (self.buf, self.head) = (larger, 0);
     }
 
-    /// The free room, in the order in which it is filled.
+    /// The free space as two slices, in the order in which they are filled.
     fn spare(&mut self) -> (&mut [u8], &mut [u8]) {
         let (size, end) = (self.buf.len(), self.head + self.len);
         if end >= size {
@@ -150,9 +151,9 @@
     }
 }
 
-/// Makes a call again for as long as signals interrupt it, and some times where the system lacks memory for it. Sockets are
-/// polled edge-triggered: only one that would block is told of again, so that whoever stops at any other end of a call is never
-/// woken.
+/// Retries a system call while signals interrupt it, and up to [`MOST_WANTS`] times if the system lacks
+/// memory for it. The poll is edge-triggered and reports a socket again only after a call that would block,
+/// so whoever stops after another error is never woken.
 pub fn made_again<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let mut wants = 0;
     loop {
--- a/crates/gradeshunt/src/ring/tests.rs
+++ b/crates/gradeshunt/src/ring/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the part named by the folder.
+//! Tests of the ring buffer.
 
 use super::*;
 use crate::memory;
 
-/// Guards the wrap: what goes in comes out in order, whatever the head's place.
+/// Bytes come out in the order in which they went in, also when they wrap around the end of the buffer.
 #[test]
 fn keeps_order_over_the_wrap() {
     let (mut ring, mut next_in, mut next_out) = (Ring::default(), 0u8, 0u8);
@@ -20,7 +20,7 @@
     }
 }
 
-/// Guards the memory limit: no ring outgrows its bound, and an empty one gives its memory back.
+/// A ring never exceeds its maximum size, and an empty one frees its memory.
 #[test]
 fn is_bounded_and_shrinks() {
     let mut ring = Ring::default();
--- a/crates/gradeshunt/src/routing/mod.rs
+++ b/crates/gradeshunt/src/routing/mod.rs
@@ -326,9 +326,9 @@
                     "match { access: WRITE access: UNKNOWN } class: \"plain-write\"",
                     "class: \"own-read\"",
                 ),
-                "no route takes what may write",
+                "no route accepts statements that may write",
             ),
-            (RULES.replace("plain", "tally-write"), "route \"writes\": class \"tally-write\" is repeated by keys"),
+            (RULES.replace("plain", "tally-write"), "route \"writes\": class \"tally-write\" needs idempotency keys"),
             (String::new(), "no route"),
         ] {
             let complaint = complaint(&text);
--- a/crates/gradeshunt/src/routing/rules.rs
+++ b/crates/gradeshunt/src/routing/rules.rs
@@ -53,7 +53,9 @@
         return Err(" no route is given".to_owned());
     }
     if !routes.iter().any(|r| writes(&facts.settings, r.class)) {
-        return Err(" no route takes what may write: one needs a class for writes".to_owned());
+        return Err(
+            " no route accepts statements that may write: at least one needs a class for writes".to_owned()
+        );
     }
     let declared = declared(&message);
     let kb = match message.number("shapes_kb") {
@@ -76,7 +78,7 @@
     if writes(&facts.settings, class) && facts.settings.classes[class.0].effect != Effect::Unsafe {
         let class = &classes.classes[class.0];
         return Err(format!(
-            " route {name:?}: class {class:?} is repeated by keys, which plain statements don't have; take one whose repeat is \"side_effect\""
+            " route {name:?}: class {class:?} needs idempotency keys, which plain statements don't have; use a class whose repeat is \"side_effect\""
         ));
     }
     let cluster = route.number("cluster");
--- a/crates/gradeshunt/src/turn.rs
+++ b/crates/gradeshunt/src/turn.rs
@@ -1,4 +1,5 @@
-//! What every part of the proxy shares during one turn of the loop: the time, the deadlines, the poll, the log.
+//! The context that all parts of the proxy share during one turn of the event loop: time, deadlines, poll and
+//! log.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,7 +17,7 @@
 use crate::ids::{CallId, CallerId, ServerId, SessionId};
 use crate::ring::made_again;
 
-/// What has become ready.
+/// An event source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The clients' listening socket.
@@ -33,16 +34,16 @@
     Control,
     /// An operator's connection.
     Caller(CallerId),
-    /// SIGTERM has come.
+    /// SIGTERM arrived.
     Terminate,
-    /// SIGHUP has come.
+    /// SIGHUP arrived.
     Reload,
-    /// File work is done.
+    /// A background file operation is done.
     Files,
 }
 
 impl Source {
-    /// Its name in the log and the figures.
+    /// The kind of source, as the log and the metrics name it.
     pub fn name(self) -> &'static str {
         match self {
             Source::Listener | Source::PeerListener => "listener",
@@ -56,18 +57,21 @@
     }
 }
 
-/// What the loop's callbacks collect; the turn works it off afterwards, so that nothing is re-entered.
+/// The ready sources that the poll's callbacks collect. The turn processes them afterwards, so that no part
+/// is re-entered.
 pub type Ready = Vec<Source>;
 
-/// One turn's surroundings.
+/// The shared context of a turn.
 pub struct Turn {
+    /// The time at which the source or deadline in progress started.
     pub now: Micros,
-    /// How long what is read in this turn may have stood unread, while the loop was busy or had no CPU.
+    /// How long bytes that are read now may have been waiting in the socket while the loop was busy or had no
+    /// CPU.
     pub unread: Micros,
     pub clock: Clock,
     pub deadlines: Deadlines,
     pub log: Logger,
-    /// Sources that had more to do than a turn gives them: they come first in the next one.
+    /// Sources with more work than one turn allows; they are processed first in the next turn.
     pub again: Vec<Source>,
     handle: LoopHandle<'static, Ready>,
 }
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Polls a socket, edge-triggered: whoever is told has to go on until the socket would block.
+    /// Registers a socket with the poll, edge-triggered: a part must use a ready socket until it would block.
     fn watch<S: AsFd + 'static>(&self, socket: &Rc<S>, source: Source) -> std::io::Result<RegistrationToken> {
         let watched = Generic::new(Rc::clone(socket), Interest::BOTH, Mode::Edge);
         let token = self.handle.insert_source(watched, move |_, _, ready: &mut Ready| {
@@ -97,7 +101,7 @@
     }
 }
 
-/// A socket that listens at an address.
+/// Opens a listening socket at an address.
 pub fn listener(addr: SocketAddr) -> std::io::Result<TcpListener> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
@@ -108,8 +112,8 @@
     Ok(socket.into())
 }
 
-/// A socket that is bound to an address and does not listen yet: whoever connects is refused. Another process of the same
-/// proxy may hold the address as well, during an upgrade.
+/// Binds a socket to an address without listening, so that connections are refused. During an upgrade another
+/// process of the same proxy may be bound to the address as well.
 pub fn bound(addr: SocketAddr) -> std::io::Result<socket2::Socket> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
@@ -120,8 +124,8 @@
     Ok(socket)
 }
 
-/// A listening socket that the platform holds and this process has inherited. A descriptor by its number alone is
-/// nobody's, so safe code can't take it: this asks the system for another one of the same socket.
+/// Returns a listening socket that this process inherited from the platform. Safe code can't take ownership
+/// of a descriptor by its number, so this asks the system for a duplicate.
 pub fn inherited(fd: i32) -> std::io::Result<TcpListener> {
     use rustix::process::{getpid, pidfd_getfd, pidfd_open, PidfdFlags, PidfdGetfdFlags};
     let own = pidfd_open(getpid(), PidfdFlags::empty())?;
@@ -130,7 +134,7 @@
     Ok(listener)
 }
 
-/// A socket that the loop polls, until [`Polled::close`].
+/// A socket that is registered with the poll until [`Polled::close`].
 pub struct Polled<S = TcpStream> {
     pub socket: Rc<S>,
     token: RegistrationToken,
@@ -149,14 +153,14 @@
 }
 
 impl Polled {
-    /// Whether nothing stands unread: no bytes, no end, no error.
+    /// Whether nothing is unread: no bytes, no end of stream, no error.
     pub fn is_quiet(&self) -> bool {
         let peeked = made_again(|| self.socket.peek(&mut [0]));
         matches!(peeked, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Whether the system holds bytes that it has not sent yet, as far as it can tell: it then takes no more once it is asked to hold
-    /// nothing unsent. Where it can't be asked, it passes for holding none.
+    /// Whether the system holds bytes that it has not sent yet: with the low-water mark at its minimum the
+    /// socket is then not writable. Returns false if the mark can't be set.
     pub fn holds_unsent(&self) -> bool {
         use rustix::event::{poll, PollFd, PollFlags};
         use rustix::io::retry_on_intr;
@@ -171,7 +175,8 @@
         writable == Ok(0)
     }
 
-    /// Whether the peer has ended its sending, or the connection is broken, whatever stands unread before that.
+    /// Whether the peer has shut down its sending side or the connection is broken, even if bytes before that
+    /// are unread.
     pub fn has_hung_up(&self) -> bool {
         use rustix::event::{poll, PollFd, PollFlags};
         use rustix::io::retry_on_intr;
@@ -182,26 +187,27 @@
         polled.is_ok_and(|n| n > 0) && fds[0].revents().intersects(ended)
     }
 
-    /// Closes the connection with a reset: what the system holds of it is not delivered any more, as it would be after a close.
+    /// Closes the connection with a reset, so that the system discards unsent bytes instead of delivering
+    /// them.
     pub fn abort(self, turn: &Turn) {
-        // Where the system can't, it is a close like any other.
+        // If the option can't be set, this is an ordinary close.
         let _ = socket2::SockRef::from(&*self.socket).set_linger(Some(Duration::ZERO));
         self.close(turn);
     }
 
-    /// Bounds what the system holds of what is written, where it can.
+    /// Sets the size of the socket's send buffer, if the system allows it.
     pub fn hold_little(&self, bytes: usize) {
         let _ = socket2::SockRef::from(&*self.socket).set_send_buffer_size(bytes);
     }
 
-    /// Starts a connection that comes up later.
+    /// Starts a non-blocking connect; the poll reports when the connection is established.
     pub fn connect(turn: &Turn, to: SocketAddr, source: Source) -> std::io::Result<Self> {
         use socket2::{Domain, Protocol, Socket, Type};
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
         match socket.connect(&to.into()) {
-            // An interrupted call leaves the connection coming up, like one that does not wait for it.
+            // After an interrupted call the connect continues, as after EINPROGRESS.
             Err(e) if e.raw_os_error() != Some(EINPROGRESS) && e.kind() != ErrorKind::Interrupted => {
                 return Err(e)
             }
@@ -211,9 +217,9 @@
     }
 }
 
-/// Values of TCP_NOTSENT_LOWAT: writable only once nothing is unsent, and as the system has it.
+/// Values of TCP_NOTSENT_LOWAT: writable only if nothing is unsent, and the system's default.
 const NOTHING_UNSENT: u32 = 1;
 const SYSTEM_DEFAULT: u32 = 0;
 
-/// Linux's number for a connection under way, which the standard library gives no stable name.
+/// The error number on Linux for a connect in progress; the standard library has no stable name for it.
 const EINPROGRESS: i32 = 115;
--- a/crates/gradeshunt/tests/faults.rs
+++ b/crates/gradeshunt/tests/faults.rs
@@ -1,4 +1,5 @@
-//! System calls that fail: a real process under the fault shim, on real connections. Every step waits for bytes.
+//! System calls that fail: a real process under the fault shim, with real connections. Each step waits for an
+//! observable event, not for a time.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -15,7 +16,7 @@
 use gradeshunt_stand_ins::standalone::{Standalone, Start};
 use serde_json::Value;
 
-/// A wait that ends a test which fails, and bounds none that passes.
+/// Timeout of a step in a failing test; a passing test never waits this long.
 const PATIENCE: Duration = Duration::from_secs(20);
 
 fn scratch(name: &str) -> PathBuf {
@@ -27,12 +28,12 @@
     SHIM.get_or_init(|| Shim::build(&scratch("shim")).expect("a C compiler"))
 }
 
-/// A process under the shim, which injects nothing yet.
+/// Starts a process under the shim, which injects no faults yet.
 fn program(name: &str, config: Value, shell: &str) -> (Standalone, FaultControl) {
     program_with(name, config, shell, &[])
 }
 
-/// A process under the shim, which injects these faults from the start.
+/// Starts a process under the shim, which injects these faults from the start.
 fn program_with(
     name: &str,
     config: Value,
@@ -40,7 +41,7 @@
     faults: &[(Knob, i64)],
 ) -> (Standalone, FaultControl) {
     let control = FaultControl::create(shim(), &scratch(&format!("{name}-control"))).expect("a file");
-    faults.iter().for_each(|(knob, value)| control.set(*knob, *value).expect("it is set"));
+    faults.iter().for_each(|(knob, value)| control.set(*knob, *value).expect("the fault is configured"));
     let start = Start {
         program: Path::new(env!("CARGO_BIN_EXE_gradeshunt")),
         folder: scratch(name),
@@ -48,7 +49,7 @@
         shell,
         environment: control.environment(),
     };
-    (Standalone::start(start, |_| {}).expect("it starts"), control)
+    (Standalone::start(start, |_| {}).expect("the process starts"), control)
 }
 
 fn read_of(id: usize) -> String {
@@ -57,18 +58,19 @@
 
 fn connect(program: &Standalone) -> Client {
     drop(program.connect(PATIENCE));
-    Client::connect(program.addr, &[("user", "portal")], PATIENCE).expect("its session starts")
+    Client::connect(program.addr, &[("user", "portal")], PATIENCE).expect("the session starts")
 }
 
-/// The set of three db hosts that most tests need, with the configuration for it.
+/// Opens the set of three db hosts that most tests need, and returns it with its configuration.
 fn site() -> (Site, Value) {
     let site = Site::open(Plan::default()).expect("a site");
     let config = site.config();
     (site, config)
 }
 
-/// A signal interrupts one call in five on any socket, and another one in five moves only a part: edges are told once, so
-/// that a call that ends for another reason than an empty socket has to be made again.
+/// A signal interrupts one socket call in five, and another one in five transfers only a part of the bytes.
+/// The poll is edge-triggered and reports readiness once, so a call that ends before the socket would block
+/// must be made again.
 #[test]
 fn interrupted_calls_leave_no_request_without_an_answer() {
     const CLIENTS: usize = 8;
@@ -76,8 +78,8 @@
     let (_site, config) = site();
     let (program, control) = program("interrupted", config, "");
     drop(connect(&program));
-    control.set(Knob::SocketInterrupted, 200).expect("it is set");
-    control.set(Knob::ShortTransfers, 200).expect("it is set");
+    control.set(Knob::SocketInterrupted, 200).expect("the fault is configured");
+    control.set(Knob::ShortTransfers, 200).expect("the fault is configured");
     let ask = |client: usize| {
         let mut connection = connect(&program);
         for request in 0..REQUESTS {
@@ -86,19 +88,22 @@
         }
     };
     thread::scope(|scope| (0..CLIENTS).for_each(|client| drop(scope.spawn(move || ask(client)))));
-    assert!(control.get(Knob::Injected).expect("a count") > 0, "the shim has struck");
+    assert!(
+        control.get(Knob::Injected).expect("the shim's counter is readable") > 0,
+        "the shim injected no fault"
+    );
 }
 
-/// The read of the descriptor that tells of signals is interrupted nearly each time: the process serves on, rereads its
-/// configuration, and ends when it is told to.
+/// Most reads of the signal descriptor are interrupted: the process continues to serve, rereads its
+/// configuration on SIGHUP and exits on SIGTERM.
 #[test]
 fn interrupted_read_of_a_signal_ends_nothing() {
     let (_site, config) = site();
     let (mut program, control) = program("interrupted-signal", config, "");
     let mut client = connect(&program);
-    control.set(Knob::OtherInterrupted, 900).expect("it is set");
+    control.set(Knob::OtherInterrupted, 900).expect("the fault is configured");
     let mut asked = 0;
-    while control.get(Knob::Injected).expect("a count") == 0 {
+    while control.get(Knob::Injected).expect("the shim's counter is readable") == 0 {
         program.signal("-HUP");
         program.until_logged("configuration reread", PATIENCE);
         asked += 1;
@@ -106,23 +111,23 @@
     }
     drop(client);
     program.signal("-TERM");
-    assert!(program.ends().expect("it can be waited for").success());
+    assert!(program.ends().expect("the process can be waited for").success());
 }
 
-/// The disk of the log is full for a while: nothing can be written there, all is served as before, and lines are written
-/// again once there is room.
+/// The log's disk is full for a while: requests are served as before, and lines are logged again once there
+/// is space.
 #[test]
 fn log_is_written_again_after_its_disk_was_full() {
     let (_site, config) = site();
     let (mut program, control) = program("log-disk-full", config, "");
     let mut client = connect(&program);
-    control.set(Knob::LogErrno, errno::ENOSPC).expect("it is set");
-    control.set(Knob::LogRate, 1000).expect("it is set");
-    let injected = || control.get(Knob::Injected).expect("a count");
-    // What breaks the protocol is a line of the log.
+    control.set(Knob::LogErrno, errno::ENOSPC).expect("the fault is configured");
+    control.set(Knob::LogRate, 1000).expect("the fault is configured");
+    let injected = || control.get(Knob::Injected).expect("the shim's counter is readable");
+    // A protocol violation makes the process log a line.
     let line = || {
         let mut stranger: TcpStream = program.connect(PATIENCE);
-        stranger.write_all(&wire::message(b'?', &[b'?'; 60])).expect("it is open");
+        stranger.write_all(&wire::message(b'?', &[b'?'; 60])).expect("the connection is open");
         assert_eq!(wire::read(&mut stranger).expect("an error").0, b'E');
     };
     while injected() == 0 {
@@ -132,16 +137,16 @@
         line();
         assert_eq!(client.query(&read_of(id)).expect("an answer").code(), None);
     }
-    control.set(Knob::LogRate, 0).expect("it is set");
+    control.set(Knob::LogRate, 0).expect("the fault is configured");
     program.signal("-HUP");
     program.until_logged("configuration reread", PATIENCE);
     drop(client);
     program.signal("-TERM");
-    assert!(program.ends().expect("it can be waited for").success());
+    assert!(program.ends().expect("the process can be waited for").success());
 }
 
-/// Every other accept fails for want of something that is no descriptor of this process: nobody who rests is closed for it, and
-/// whoever connects is served.
+/// Every other accept fails for want of a system resource other than the process's own descriptors: no idle
+/// client is closed for it, and every new client is served.
 #[test]
 fn accept_that_fails_for_a_moment_closes_nobody() {
     const RESTING: usize = 10;
@@ -152,21 +157,25 @@
     for (id, client) in resting.iter_mut().enumerate() {
         assert_eq!(client.query(&read_of(id)).expect("an answer").code(), None);
     }
-    control.set(Knob::AcceptErrno, errno::ENFILE).expect("it is set");
-    control.set(Knob::AcceptRate, 500).expect("it is set");
+    control.set(Knob::AcceptErrno, errno::ENFILE).expect("the fault is configured");
+    control.set(Knob::AcceptRate, 500).expect("the fault is configured");
     for id in 0..NEW {
         let mut client = connect(&program);
         assert_eq!(client.query(&read_of(100 + id)).expect("an answer").code(), None);
     }
-    assert!(control.get(Knob::Injected).expect("a count") > 0, "the shim has struck");
+    assert!(
+        control.get(Knob::Injected).expect("the shim's counter is readable") > 0,
+        "the shim injected no fault"
+    );
     for (id, client) in resting.iter_mut().enumerate() {
-        let reply = client.query(&read_of(1000 + id)).expect("it was not closed");
+        let reply = client.query(&read_of(1000 + id)).expect("the idle client was not closed");
         assert_eq!(reply.code(), None);
     }
 }
 
-/// A process is told to reread its configuration while it reads it for the first time: it starts, and reads it once more. The
-/// configuration is a pipe, so that the signal comes amid the first reading.
+/// SIGHUP arrives while a process reads its configuration for the first time: the process starts and then
+/// reads the configuration again. The configuration is a pipe, so that the signal arrives during the first
+/// read.
 #[test]
 fn reload_amid_the_start_ends_nothing() {
     let (_site, mut config) = site();
@@ -175,7 +184,7 @@
     config["listen"] = serde_json::json!(program.addr.to_string());
     let pipe = program.folder.join("tmp/config");
     let write = |before: &dyn Fn()| {
-        // Opened once the process has opened it as well.
+        // This opens once the process has opened the other end of the pipe.
         let mut file = loop {
             match std::fs::File::options().write(true).open(&pipe) {
                 Ok(file) => break file,
@@ -183,7 +192,7 @@
             }
         };
         before();
-        file.write_all(config.to_string().as_bytes()).expect("it is read");
+        file.write_all(config.to_string().as_bytes()).expect("the process reads the pipe");
     };
     write(&|| program.signal("-HUP"));
     let mut client = connect(&program);
@@ -194,13 +203,13 @@
 
 /// Waits until the shim has injected a fault.
 fn until_injected(control: &FaultControl) {
-    while control.get(Knob::Injected).expect("a count") == 0 {
+    while control.get(Knob::Injected).expect("the shim's counter is readable") == 0 {
         thread::yield_now();
     }
 }
 
-/// The folder that the processes of a proxy share takes no writes while a process starts: it serves all the same, and takes its
-/// place in the folder once there is room.
+/// Writes to the folder that a proxy's processes share fail while a process starts: the process serves, and
+/// registers in the folder once there is space.
 #[test]
 fn folder_without_room_at_the_start_ends_nothing() {
     let (_site, config) = site();
@@ -209,32 +218,32 @@
     until_injected(&control);
     let mut client = connect(&program);
     assert_eq!(client.query(&read_of(1)).expect("an answer").code(), None);
-    control.set(Knob::DiskRate, 0).expect("it is set");
+    control.set(Knob::DiskRate, 0).expect("the fault is configured");
     let place = program.folder.join("tmp/gradeshunt-6e30/process-0");
     let serving = || std::fs::read(&place).is_ok_and(|duty| duty == b"r");
     let began = Instant::now();
     while !serving() {
-        assert!(began.elapsed() < PATIENCE, "it tells nobody that it serves: {}", program.log());
+        assert!(began.elapsed() < PATIENCE, "the process does not register as serving: {}", program.log());
         thread::yield_now();
     }
     drop(client);
     program.signal("-TERM");
-    assert!(program.ends().expect("it can be waited for").success());
+    assert!(program.ends().expect("the process can be waited for").success());
 }
 
-/// The system gives no socket while a process starts: it listens once there is one.
+/// The system can't create sockets while a process starts: the process listens as soon as it can.
 #[test]
 fn socket_that_cannot_be_had_for_a_moment_ends_no_start() {
     let (_site, config) = site();
     let faults = [(Knob::SocketErrno, errno::ENOBUFS), (Knob::SocketRate, 1000)];
     let (program, control) = program_with("no-socket", config, "", &faults);
     until_injected(&control);
-    control.set(Knob::SocketRate, 0).expect("it is set");
+    control.set(Knob::SocketRate, 0).expect("the fault is configured");
     assert_eq!(connect(&program).query(&read_of(1)).expect("an answer").code(), None);
 }
 
-/// Clients hold all descriptors when a new configuration is announced, so that its file can't be opened: it is read once there is
-/// one.
+/// SIGHUP arrives while clients use up all descriptors, so that the configuration file can't be opened: the
+/// process reads it once a descriptor is free.
 #[test]
 fn reload_without_descriptors_is_made_up_for() {
     const DESCRIPTORS: usize = 40;
@@ -244,7 +253,7 @@
     let half = [wire::startup(&[("user", "portal")]), b"Q\0".to_vec()].concat();
     let hold = |_| {
         let mut client = program.connect(PATIENCE);
-        client.write_all(&half).expect("it is open");
+        client.write_all(&half).expect("the connection is open");
         client
     };
     let crowd: Vec<_> = (0..DESCRIPTORS).map(hold).collect();
@@ -255,8 +264,9 @@
     program.until_logged("configuration reread", PATIENCE);
 }
 
-/// A client connects and asks while connections can't be accepted. Its wait counts from then: what its db host is told is no more
-/// than what is left of it. How long that took shows by another request, which waits at a db host that hangs.
+/// A client connects and sends a request while accepting fails. The request's wait counts from then, so the
+/// db host is sent at most the remaining time. Another request, at a db host that hangs, measures how long
+/// the client waited.
 #[test]
 fn time_that_a_client_stood_in_the_backlog_counts() {
     const WAIT_MS: u64 = 900;
@@ -266,23 +276,28 @@
     let (program, control) = program("backlog", config, "");
     let mut other = connect(&program);
     assert_eq!(other.query(&read_of(1)).expect("an answer").code(), None);
-    control.set(Knob::AcceptErrno, errno::ENFILE).expect("it is set");
-    control.set(Knob::AcceptRate, 1000).expect("it is set");
+    control.set(Knob::AcceptErrno, errno::ENFILE).expect("the fault is configured");
+    control.set(Knob::AcceptRate, 1000).expect("the fault is configured");
     let within = |id: usize, ms: u64| read_of(id).replace("d=300000", &format!("d={ms}"));
-    let mut client = Client::open(program.addr, &[("user", "portal")], PATIENCE).expect("it connects");
-    client.ask(&within(8, WAIT_MS)).expect("it is open");
+    let mut client =
+        Client::open(program.addr, &[("user", "portal")], PATIENCE).expect("the client connects");
+    client.ask(&within(8, WAIT_MS)).expect("the connection is open");
     assert!(other.query(&within(7, PASSED_MS)).expect("an answer").code().is_some());
-    control.set(Knob::AcceptRate, 0).expect("it is set");
-    client.until_ready().expect("its session starts");
+    control.set(Knob::AcceptRate, 0).expect("the fault is configured");
+    client.until_ready().expect("the session starts");
     assert_eq!(client.until_ready().expect("an answer").code(), None);
     let ran = site.sets[0].ran();
-    let request =
-        ran.iter().map(|ran| &ran.request).find(|request| request.contains("id=8,")).expect("it ran");
+    let request = ran
+        .iter()
+        .map(|ran| &ran.request)
+        .find(|request| request.contains("id=8,"))
+        .expect("the request ran");
     let told = request.split(",d=").nth(1).and_then(|rest| rest.split(',').next()?.parse::<u64>().ok());
     assert!(told.is_some_and(|told| told <= WAIT_MS - PASSED_MS + 150), "{request}");
 }
 
-/// The system lacks memory for one read or write of a socket in five: the call is made again, and no connection is given up for it.
+/// One read or write of a socket in five fails for want of memory: the call is made again, and no connection
+/// is lost.
 #[test]
 fn want_of_memory_at_a_socket_loses_no_request() {
     const REQUESTS: usize = 200;
@@ -290,16 +305,20 @@
     for (name, number) in [("no-memory", errno::ENOMEM), ("no-buffers", errno::ENOBUFS)] {
         let (program, control) = program(name, config.clone(), "");
         let mut client = connect(&program);
-        control.set(Knob::WantErrno, number).expect("it is set");
-        control.set(Knob::WantRate, 200).expect("it is set");
+        control.set(Knob::WantErrno, number).expect("the fault is configured");
+        control.set(Knob::WantRate, 200).expect("the fault is configured");
         for id in 0..REQUESTS {
             assert_eq!(client.query(&read_of(id)).expect("an answer").code(), None);
         }
-        assert!(control.get(Knob::Injected).expect("a count") > 0, "the shim has struck");
+        assert!(
+            control.get(Knob::Injected).expect("the shim's counter is readable") > 0,
+            "the shim injected no fault"
+        );
     }
 }
 
-/// Guards requests against connects that fail for want of a buffer or port, which passes: each used up an attempt.
+/// Connects that fail for a moment, for want of a buffer or a port, don't use up a request's attempts, as
+/// each once did.
 #[test]
 fn connect_that_fails_for_a_moment_uses_up_no_attempts() {
     const MORE_THAN_ALL_ATTEMPTS: i64 = 20;
@@ -307,15 +326,15 @@
     for (name, number) in [("no-port", errno::EADDRNOTAVAIL), ("no-buffer", errno::ENOBUFS)] {
         let (program, control) = program(name, config.clone(), "");
         let mut client = connect(&program);
-        control.set(Knob::ConnectErrno, number).expect("it is set");
-        control.set(Knob::ConnectRate, 1000).expect("it is set");
-        client.ask(&read_of(1)).expect("it is open");
+        control.set(Knob::ConnectErrno, number).expect("the fault is configured");
+        control.set(Knob::ConnectRate, 1000).expect("the fault is configured");
+        client.ask(&read_of(1)).expect("the connection is open");
         let began = Instant::now();
-        while control.get(Knob::Injected).expect("a count") < MORE_THAN_ALL_ATTEMPTS {
+        while control.get(Knob::Injected).expect("the shim's counter is readable") < MORE_THAN_ALL_ATTEMPTS {
             assert!(began.elapsed() < PATIENCE, "no more connects are tried: {}", program.log());
             thread::yield_now();
         }
-        control.set(Knob::ConnectRate, 0).expect("it is set");
+        control.set(Knob::ConnectRate, 0).expect("the fault is configured");
         let reply = client.until_ready().expect("an answer");
         assert_eq!(reply.code(), None, "{reply:?}");
     }
--- a/crates/gradeshunt/tests/full_log.rs
+++ b/crates/gradeshunt/tests/full_log.rs
@@ -1,4 +1,4 @@
-//! A log whose reader reads nothing: a pipe that is full.
+//! A log that is written to a full pipe which nobody reads.
 
 use std::fs::File;
 use std::io::{ErrorKind, Write};
@@ -12,14 +12,14 @@
 use gradeshunt_stand_ins::standalone::{Standalone, Start};
 use rustix::fs::{mkfifoat, open, Mode, OFlags, CWD};
 
-/// A wait that ends a test which fails, and bounds none that passes.
+/// Timeout of a step in a failing test; a passing test never waits this long.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// Pace of the looks at a process that is to end.
+/// Interval between checks whether the process has exited.
 const LOOK: Duration = Duration::from_millis(2);
-/// Bytes with which a pipe is filled at a time.
+/// Bytes written at a time to fill a pipe.
 const FILLING: [u8; 4096] = [b'\n'; 4096];
 
-/// A full pipe that somebody holds for reading and doesn't read.
+/// A full pipe that is open for reading, but never read.
 struct FullPipe {
     path: PathBuf,
     _held: File,
@@ -31,7 +31,7 @@
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
         mkfifoat(CWD, &path, Mode::RUSR | Mode::WUSR).expect("a pipe");
         let held = open(&path, OFlags::RDWR | OFlags::NONBLOCK | OFlags::CLOEXEC, Mode::empty());
-        let mut held = File::from(held.expect("it opens"));
+        let mut held = File::from(held.expect("the pipe opens"));
         let full = loop {
             if let Err(e) = held.write(&FILLING) {
                 break e;
@@ -48,20 +48,20 @@
     }
 }
 
-/// How a process ends, if it does.
+/// Waits for a process to exit; returns its status, or `None` after [`PATIENCE`].
 fn end_of(program: &mut Standalone) -> Option<ExitStatus> {
     let since = Instant::now();
     while since.elapsed() < PATIENCE {
-        if let Some(status) = program.has_ended().expect("it can be waited for") {
+        if let Some(status) = program.has_ended().expect("the process can be waited for") {
             return Some(status);
         }
         thread::sleep(LOOK);
     }
-    program.has_ended().expect("it can be waited for")
+    program.has_ended().expect("the process can be waited for")
 }
 
-/// Guards the end of a process whose log nobody reads: it answers, and ends when it is told to, with its lines unwritten. One that
-/// waited for its log would be there until SIGKILL, and an upgrade with it.
+/// A process whose log nobody reads answers requests and exits on SIGTERM with its lines unwritten. A process
+/// that waits for its log would stay until SIGKILL, and an upgrade would wait with it.
 #[test]
 fn process_whose_log_is_not_read_serves_and_ends() {
     let site = Site::open(Plan::default()).expect("a site");
@@ -74,9 +74,9 @@
         shell: &format!("exec 2>>'{}';", pipe.path.display()),
         environment: Vec::new(),
     };
-    let mut program = Standalone::start(start, |_| {}).expect("it starts");
+    let mut program = Standalone::start(start, |_| {}).expect("the process starts");
     drop(program.connect(PATIENCE));
-    let mut client = Client::connect(program.addr, &[("user", "u")], PATIENCE).expect("its session starts");
+    let mut client = Client::connect(program.addr, &[("user", "u")], PATIENCE).expect("the session starts");
     let read = "/* id=1,c=page-read,d=300000,cluster=1 */ SELECT data FROM facts WHERE code = '1'";
     assert_eq!(client.query(read).expect("an answer").code(), None);
     drop(client);
--- a/crates/gradeshunt/tests/plain.rs
+++ b/crates/gradeshunt/tests/plain.rs
@@ -1,4 +1,5 @@
-//! Plain SQL through the program: where it goes, and that all that comes of it comes back.
+//! Plain statements (without a routing comment) through the program: which db host runs them, and that their
+//! results arrive whole.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -40,22 +41,23 @@
             std::fs::write(&file, rules).expect("a file");
             platform.environment.push(("ROUTER_RULES".to_owned(), file.display().to_string()));
         }
-        let process = platform.start().expect("it starts");
-        process.ready().expect("it serves");
+        let process = platform.start().expect("the process starts");
+        process.ready().expect("the process serves");
         Stage { site, process, platform, folder }
     }
 
     fn client(&self) -> Client {
-        let listen = self.process.listen.expect("it tells where");
+        let listen = self.process.listen.expect("the process logs its address");
         let identity = [("user", "reporter"), ("database", "results"), ("application_name", "page")];
-        Client::connect(listen, &identity, Duration::from_secs(60)).expect("its session starts")
+        Client::connect(listen, &identity, Duration::from_secs(60)).expect("the session starts")
     }
 
-    /// Numbers of the db hosts that have run a statement that holds this.
+    /// Numbers of the db hosts that ran a statement containing this text.
     fn ran(&self, holds: &str) -> Vec<usize> {
         self.site.sets[0].ran().iter().filter(|r| r.request.contains(holds)).map(|r| r.host).collect()
     }
 
+    /// Adds a rule to the scripts of all db hosts.
     fn everywhere(&self, rule: &Rule) {
         (0..3).for_each(|n| self.site.sets[0].script(n, rule.clone()));
     }
@@ -65,7 +67,8 @@
     client.query(statement).expect("an answer")
 }
 
-/// Guards data: what may write reaches the primary alone, wherever the call stands; reads go to replicas, unchanged.
+/// Statements that may write reach only the primary, wherever in the statement the write is. Reads go to
+/// replicas unchanged.
 #[test]
 fn writes_reach_the_primary_alone() {
     let stage = Stage::open("writes", Some(RULES));
@@ -84,7 +87,7 @@
     }
     let reads = ["SELECT turnout(7) FROM t  /* as it is */", "select 'DELETE' , 8"];
     for statement in reads {
-        // A new session: nothing of its own to be seen.
+        // A new session, which has no writes of its own to see and may read from a replica.
         assert_eq!(ask(&mut stage.client(), statement).outcome_name(), "served", "{statement}");
         let ran = stage.site.sets[0].ran();
         let ran: Vec<_> = ran.iter().filter(|r| r.request == statement).map(|r| r.host).collect();
@@ -99,7 +102,7 @@
     assert!(status == 200 && lines.iter().all(|l| figures.contains(l)), "{figures}");
 }
 
-/// Guards sessions: a read on the connection that has written sees what it wrote, however far replicas are behind.
+/// A read sees what its own connection wrote before, however far replicas lag behind.
 #[test]
 fn own_writes_are_seen() {
     let stage = Stage::open("own", Some(RULES));
@@ -114,7 +117,7 @@
     }
 }
 
-/// Guards results: all of a result comes, in order, with what stands around it.
+/// All messages of a result arrive in order, including notices, the row description and the command tag.
 #[test]
 fn whole_results_come_through() {
     let stage = Stage::open("results", Some(RULES));
@@ -145,11 +148,11 @@
     for statement in ["BEGIN", "COPY t FROM STDIN", "SELECT 1; SELECT 2", "LISTEN x"] {
         assert_eq!(ask(&mut client, statement).code(), Some("0A000"), "{statement}");
     }
-    assert_eq!(ask(&mut client, "SELECT 1").outcome_name(), "served", "the connection goes on");
+    assert_eq!(ask(&mut client, "SELECT 1").outcome_name(), "served", "the connection stays usable");
 }
 
-/// Guards memory and order: a result far larger than what the program holds comes whole, as fast as it is read; and one
-/// that breaks off can't be taken for whole.
+/// A result far larger than the program's buffers arrives whole, as fast as the client reads it. If it breaks
+/// off, the client gets an error and can't mistake it for a complete result.
 #[test]
 fn large_results_pass_at_the_readers_pace() {
     let stage = Stage::open("large", Some(RULES));
@@ -164,14 +167,14 @@
     }
     stage.site.sets[0].clear_scripts();
     stage.everywhere(&Rule::always("FROM large", Act::CutAfter(table, 2_000_000)));
-    assert!(client.query("SELECT * FROM large").is_err(), "it ends amid the rows");
+    assert!(client.query("SELECT * FROM large").is_err(), "the connection ends in the middle of the rows");
 }
 
-/// Guards against running twice: a plain write has no key, so one that may have run is never sent again.
+/// A plain write that may have run is never sent again: it has no idempotency key, so it could run twice.
 #[test]
 fn a_write_that_may_have_run_is_not_repeated() {
     let stage = Stage::open("once", Some(RULES));
-    // A read may be repeated, and is.
+    // A read is safe to repeat and is sent again.
     (1..3).for_each(|n| stage.site.sets[0].script(n, Rule::once("SELECT 'again'", Act::ResetBefore)));
     assert_eq!(ask(&mut stage.client(), "SELECT 'again'").outcome_name(), "served");
     stage.everywhere(&Rule::always("VALUES ('a'", Act::ResetAfter));
@@ -181,7 +184,7 @@
     assert_eq!(stage.ran("VALUES ('a'"), [0]);
 }
 
-/// Guards the comment's word: where it names a reading class for a write, the write goes to the primary all the same.
+/// A write whose routing comment names a reading class still goes to the primary.
 #[test]
 fn a_comment_that_says_less_does_not_count() {
     let stage = Stage::open("less", Some(RULES));
@@ -193,20 +196,20 @@
     assert!(figures.contains("app_contradictions 1\n"), "{figures}");
 }
 
-/// Guards operators: a file with a slip leaves the old rules standing, and a good one counts from the signal on.
+/// On SIGHUP, an invalid rules file leaves the old rules in force, and a valid one replaces them.
 #[test]
 fn rules_are_reread() {
     let mut stage = Stage::open("reread", Some(RULES));
     let file = stage.folder.join("rules.textproto");
     std::fs::write(&file, RULES.replace("cluster: 1", "clutser: 1")).expect("a file");
-    stage.process.signal("HUP").expect("it can be told");
-    let line = stage.process.until("configuration kept").expect("it says so");
+    stage.process.signal("HUP").expect("the signal is sent");
+    let line = stage.process.until("configuration kept").expect("the process logs it");
     assert!(line.contains("rules.textproto:2:"), "{line}");
     assert_eq!(ask(&mut stage.client(), "SELECT 1").outcome_name(), "served");
     let writes_only = "route { match { access: WRITE } class: \"plain-write\" cluster: 1 }";
     std::fs::write(&file, writes_only).expect("a file");
-    stage.process.signal("HUP").expect("it can be told");
-    stage.process.until("configuration reread").expect("it says so");
+    stage.process.signal("HUP").expect("the signal is sent");
+    stage.process.until("configuration reread").expect("the process logs it");
     assert_eq!(ask(&mut stage.client(), "SELECT 1").code(), Some("42501"));
     let _ = stage.platform.config();
 }
@@ -218,7 +221,7 @@
     assert_eq!(stage.process.call("GET", "/shapes").expect("an answer").0, 404);
 }
 
-/// The name of an outcome, as these tests tell them apart.
+/// Gives replies the name of their outcome, in the categories of these tests.
 trait Named {
     fn outcome_name(&self) -> &'static str;
 }
