--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -17,7 +17,7 @@
 use crate::ids::ServerId;
 use crate::pg::Writer;
 use crate::placing::{is_peer, PEER_USER};
-use crate::ring::{Moved, Ring};
+use crate::ring::{Ring, Transfer};
 use crate::turn::{Polled, Source, Turn};
 
 /// User and database that the proxy names to db hosts, which accept any.
@@ -264,7 +264,7 @@
             }
             let Some(s) = self.servers.get_mut(&id) else { return Ok(()) };
             match s.outbound.drain(&s.polled.socket) {
-                Ok(Moved::Some(_)) => self.note_written(turn, exchange, id),
+                Ok(Transfer::Bytes(_)) => self.note_written(turn, exchange, id),
                 Ok(_) => return Ok(()),
                 // Still connecting.
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(()),
--- a/crates/gradeshunt/src/backend/discard.rs
+++ b/crates/gradeshunt/src/backend/discard.rs
@@ -5,7 +5,7 @@
 use crate::ring::Ring;
 
 /// The most that is read over: more is no second copy of an answer.
-const MOST_DISCARDED: usize = 2 * pg::LONGEST_ROW;
+const MOST_DISCARDED: usize = 2 * pg::MAX_ROW_SIZE;
 
 /// How much was read over, and what is still to come of the message that is being read over.
 #[derive(Debug, Default)]
@@ -39,7 +39,7 @@
             if self.left > 0 {
                 return Ok(Discarded::AllThatCame);
             }
-            let Some((tag, size)) = pg::header(inbound.bytes(), pg::BACKEND)? else {
+            let Some((tag, size)) = pg::parse_header(inbound.bytes(), pg::BACKEND_MESSAGE_TYPES)? else {
                 return Ok(Discarded::AllThatCame);
             };
             if tag == b'I' {
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -322,7 +322,7 @@
                 let note = self.hosts.get_mut(&member).and_then(|host| host.note(turn, &reply));
                 let said = match ending {
                     Ending::Ok => Said::Answer(reply.bytes),
-                    Ending::Error if reply.error.as_deref().is_some_and(sqlstate::is_verdict) => {
+                    Ending::Error if reply.error.as_deref().is_some_and(sqlstate::is_statement_error) => {
                         Said::Verdict(reply.bytes)
                     }
                     Ending::Error
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -14,7 +14,7 @@
 use crate::exchange::{AnswerCheck, ConnectionEnd, Exchange, Form};
 use crate::ids::ServerId;
 use crate::pg::{self, Malformed};
-use crate::ring::Moved;
+use crate::ring::Transfer;
 use crate::turn::{Source, Turn};
 
 /// How long ReadyForQuery may take behind a whole answer. What a db host tells of itself may come in between.
@@ -56,9 +56,9 @@
             }
             let moved = s.inbound.fill(&s.polled.socket);
             let end = match moved {
-                Ok(Moved::Nothing) => return,
-                Ok(Moved::Some(_)) => None,
-                Ok(Moved::End) => Some("closed by the db host".to_owned()),
+                Ok(Transfer::Blocked) => return,
+                Ok(Transfer::Bytes(_)) => None,
+                Ok(Transfer::End) => Some("closed by the db host".to_owned()),
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
                 Err(e) => Some(e.to_string()),
             };
@@ -105,7 +105,7 @@
                 match reply.shape {
                     _ if reply.form == Form::Result => {}
                     Shape::Described => {
-                        if let Some(size) = pg::long_row(s.inbound.bytes())? {
+                        if let Some(size) = pg::long_row_size(s.inbound.bytes())? {
                             reply.shape = Shape::Passing(size);
                             continue;
                         }
@@ -114,7 +114,7 @@
                     Shape::Nothing | Shape::Row | Shape::Complete => {}
                 }
             }
-            let Some(message) = pg::message(s.inbound.bytes(), pg::BACKEND)? else {
+            let Some(message) = pg::parse_message(s.inbound.bytes(), pg::BACKEND_MESSAGE_TYPES)? else {
                 // Half a message would pass for the beginning of the next request's answer.
                 if matches!(s.stage, Stage::Idle { .. }) && !s.inbound.is_empty() {
                     return Err(Malformed("half a message between requests"));
@@ -140,7 +140,7 @@
                 Stage::Starting { .. } => match tag {
                     b'R' if message.body != [0; 4] => return Err(Malformed("it asks for a password")),
                     b'E' => {
-                        let code = pg::error_code(message.body)?.to_owned();
+                        let code = pg::parse_error_code(message.body)?.to_owned();
                         self.startup_refused(turn, exchange, id, &code);
                         return Ok(());
                     }
--- a/crates/gradeshunt/src/backend/reply.rs
+++ b/crates/gradeshunt/src/backend/reply.rs
@@ -52,7 +52,7 @@
             b'N' | b'A' => {}
             _ if self.ending().is_some() => return Err(Malformed("more than one answer")),
             b'E' => {
-                self.error = Some(pg::error_code(message.body)?.to_owned());
+                self.error = Some(pg::parse_error_code(message.body)?.to_owned());
                 self.bytes.clear();
                 self.append(message)?;
             }
@@ -68,7 +68,7 @@
                 self.append(message)?;
             }
             b'C' if self.shape == Shape::Row => {
-                pg::string(message.body)?;
+                pg::parse_string(message.body)?;
                 self.shape = Shape::Complete;
                 self.append(message)?;
             }
@@ -102,7 +102,7 @@
                 self.append(message)?;
             }
             b'E' => {
-                self.error = Some(pg::error_code(message.body)?.to_owned());
+                self.error = Some(pg::parse_error_code(message.body)?.to_owned());
                 self.bytes.clear();
                 self.append(message)?;
             }
@@ -127,12 +127,12 @@
 
     /// Whether more of a result waits to be passed on than is held of an answer.
     pub(super) fn is_full(&self) -> bool {
-        self.form == Form::Result && self.bytes.len() > pg::WHOLE_ROW
+        self.form == Form::Result && self.bytes.len() > pg::MAX_BUFFERED_ROW
     }
 
     /// What a db host tells of itself; false where a ParameterStatus is none of that.
     fn take_status(&mut self, message: &pg::Message) -> bool {
-        match pg::parameter_status(message.body) {
+        match pg::parse_parameter_status(message.body) {
             Some(("log_position", value)) => {
                 self.position = value.parse().ok();
             }
@@ -145,7 +145,7 @@
 
     fn append(&mut self, message: &pg::Message) -> Result<(), Malformed> {
         let before = if self.form == Form::Result { 0 } else { self.bytes.len() };
-        if before + message.size > pg::LONGEST_ANSWER {
+        if before + message.size > pg::MAX_BUFFERED_ANSWER {
             return Err(Malformed("the answer is too long"));
         }
         self.held.set(self.bytes.len() + message.size);
--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -13,7 +13,7 @@
 use crate::deadlines::Due;
 use crate::figures::{Count, Figures};
 use crate::ids::CallerId;
-use crate::ring::{Moved, Ring};
+use crate::ring::{Ring, Transfer};
 use crate::turn::{self, Polled, Source, Turn};
 
 /// Maximum size in bytes of a call's head, and maximum number of its headers.
@@ -185,15 +185,15 @@
             let c = self.callers.get_mut(&id)?;
             let moved = c.outbound.drain(&c.polled.socket).and_then(|_| c.inbound.fill(&c.polled.socket));
             match (moved, &c.stage) {
-                (Ok(Moved::Nothing), Stage::Answered) if c.outbound.is_empty() => {
+                (Ok(Transfer::Blocked), Stage::Answered) if c.outbound.is_empty() => {
                     // An immediate close could reset the connection and destroy what the caller has yet to
                     // read.
                     let _ = c.polled.socket.shutdown(Shutdown::Write);
                     return None;
                 }
-                (Ok(Moved::Nothing), _) => return None,
-                (Ok(Moved::Some(n)), Stage::Answered | Stage::Owed) => c.inbound.consume(n),
-                (Ok(Moved::Some(_)), Stage::Asking) => match read(c.inbound.bytes()) {
+                (Ok(Transfer::Blocked), _) => return None,
+                (Ok(Transfer::Bytes(n)), Stage::Answered | Stage::Owed) => c.inbound.consume(n),
+                (Ok(Transfer::Bytes(_)), Stage::Asking) => match read(c.inbound.bytes()) {
                     Ok(None) => {}
                     Ok(Some(command)) => {
                         (c.stage, c.inbound) = (Stage::Owed, Ring::default());
@@ -202,8 +202,8 @@
                     Err(answer) => self.answer(turn, id, &answer),
                 },
                 // A caller that has shut down its sending side still waits for the response.
-                (Ok(Moved::End), Stage::Owed) => return None,
-                (Ok(Moved::End) | Err(_), _) => {
+                (Ok(Transfer::End), Stage::Owed) => return None,
+                (Ok(Transfer::End) | Err(_), _) => {
                     self.close(turn, id);
                     return None;
                 }
--- a/crates/gradeshunt/src/discovery/answer/tests.rs
+++ b/crates/gradeshunt/src/discovery/answer/tests.rs
@@ -7,7 +7,7 @@
     let (mut ring, mut whole) = (Ring::default(), 0);
     for (n, piece) in pieces.into_iter().enumerate() {
         // As a socket is read: no more than fits.
-        assert!(ring.push(&piece[..piece.len().min(crate::ring::LARGEST - ring.len())]));
+        assert!(ring.push(&piece[..piece.len().min(crate::ring::MAX_RING_SIZE - ring.len())]));
         match answer.take(&mut ring) {
             Ok(w) => whole += usize::from(w.any),
             Err(_) => return (Some(n), whole),
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -19,7 +19,7 @@
 use crate::deadlines::Due;
 use crate::exchange::Ask;
 use crate::ids::CallId;
-use crate::ring::{Moved, Ring};
+use crate::ring::{Ring, Transfer};
 use crate::turn::{Polled, Source, Turn};
 
 /// Reads of a call in one turn.
@@ -210,9 +210,9 @@
             let moved =
                 call.outbound.drain(&call.polled.socket).and_then(|_| call.inbound.fill(&call.polled.socket));
             let ended = match moved {
-                Ok(Moved::Some(_)) => false,
-                Ok(Moved::Nothing) => return,
-                Ok(Moved::End) => true,
+                Ok(Transfer::Bytes(_)) => false,
+                Ok(Transfer::Blocked) => return,
+                Ok(Transfer::End) => true,
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
                 Err(e) => return self.fail_as(turn, id, &e.to_string(), kind_of(&e), news),
             };
--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -23,18 +23,21 @@
 use self::session::Session;
 use crate::exchange::ROOM;
 use crate::ids::SessionId;
-use crate::pg::{LONGEST_ANSWER, WHOLE_ROW};
-use crate::ring::LARGEST;
+use crate::pg::{MAX_BUFFERED_ANSWER, MAX_BUFFERED_ROW};
+use crate::ring::MAX_RING_SIZE;
 use crate::routing::{Router, Rules};
 use crate::turn::{Polled, Turn};
 
 /// No further request of a session starts while its client has left more than this many bytes of answers
 /// unread, so that the output ring always has room for one more answer.
-const UNREAD_LIMIT: usize = LARGEST - LONGEST_ANSWER - 1024;
+const UNREAD_LIMIT: usize = MAX_RING_SIZE - MAX_BUFFERED_ANSWER - 1024;
 // A final answer always fits into the output ring behind the bytes that the client has not read yet. Those
 // are at most `UNREAD_LIMIT` when a request starts; of a streamed result, at most `ROOM` and one whole row
 // are buffered.
-const _: () = assert!(UNREAD_LIMIT + LONGEST_ANSWER < LARGEST && ROOM + WHOLE_ROW + LONGEST_ANSWER < LARGEST);
+const _: () = assert!(
+    UNREAD_LIMIT + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
+        && ROOM + MAX_BUFFERED_ROW + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
+);
 
 /// The session that waits for a request's answer, and the request's id as the client gave it.
 struct Owner {
--- a/crates/gradeshunt/src/frontend/answers.rs
+++ b/crates/gradeshunt/src/frontend/answers.rs
@@ -35,11 +35,11 @@
     pub fn answer(&mut self, turn: &mut Turn, exchange: &mut Exchange, request: RequestId, answer: Final) {
         let Some(id) = self.release_request(request) else { return };
         let Some(s) = self.sessions.get_mut(&id) else { return };
-        (s.stage, s.since) = (Stage::Ready, turn.now);
+        (s.stage, s.last_active) = (Stage::Ready, turn.now);
         // A write has committed by now if it did at all; one that failed counts too, because it may have
         // executed.
-        if std::mem::take(&mut s.writing) {
-            s.wrote = Some(turn.now);
+        if std::mem::take(&mut s.may_write) {
+            s.last_write = Some(turn.now);
         }
         let w = Writer::default();
         let w = match answer {
@@ -54,7 +54,7 @@
                 )
             }
             // The client would read an error message as bytes of the truncated value.
-            Final::Broken => return self.close_with(turn, id, w, CloseReason::ValueCut),
+            Final::Broken => return self.close_with(turn, id, w, CloseReason::ValueTruncated),
             Final::Cancelled => {
                 w.error("ERROR", sqlstate::QUERY_CANCELED, "canceling statement due to user request", None)
             }
--- a/crates/gradeshunt/src/frontend/closing.rs
+++ b/crates/gradeshunt/src/frontend/closing.rs
@@ -18,25 +18,25 @@
     /// The proxy drains.
     Draining,
     /// The client makes room for a new one.
-    Room,
+    MakeRoom,
     /// The proxy has its maximum number of clients, and none could be closed for this one.
-    Full,
+    TooManyClients,
     /// The process holds too many bytes in buffers.
-    Memory,
+    OutOfMemory,
     /// The client took too long to send a whole message.
-    Slow,
+    MessageTimeout,
     /// The client violated the protocol.
-    Protocol,
+    ProtocolViolation,
     /// The client asks for a protocol version that is not supported.
-    Unsupported,
+    UnsupportedProtocol,
     /// The client connected to the listener for other proxies and is none of them.
-    Stranger,
+    PeerNotAdmitted,
     /// The connection carried a cancel request, after which it always closes.
     CancelRequest,
     /// The client sent Terminate.
-    Goodbye,
+    Terminate,
     /// The db host's connection broke in the middle of a value that was already being passed on.
-    ValueCut,
+    ValueTruncated,
 }
 
 impl CloseReason {
@@ -53,16 +53,16 @@
         match self {
             CloseReason::Idle => "idle",
             CloseReason::Draining => "draining",
-            CloseReason::Room => "room",
-            CloseReason::Full => "full",
-            CloseReason::Memory => "memory",
-            CloseReason::Slow => "slow",
-            CloseReason::Protocol => "protocol",
-            CloseReason::Unsupported => "unsupported",
-            CloseReason::Stranger => "stranger",
+            CloseReason::MakeRoom => "room",
+            CloseReason::TooManyClients => "full",
+            CloseReason::OutOfMemory => "memory",
+            CloseReason::MessageTimeout => "slow",
+            CloseReason::ProtocolViolation => "protocol",
+            CloseReason::UnsupportedProtocol => "unsupported",
+            CloseReason::PeerNotAdmitted => "stranger",
             CloseReason::CancelRequest => "cancel_request",
-            CloseReason::Goodbye => "goodbye",
-            CloseReason::ValueCut => "value_cut",
+            CloseReason::Terminate => "goodbye",
+            CloseReason::ValueTruncated => "value_cut",
         }
     }
 }
@@ -72,7 +72,7 @@
     /// request may still be in transit and is waited for.
     pub(super) fn close_facts(&self, may_ask_yet: bool) -> ClientFacts {
         let stage = match self.stage {
-            Stage::Startup | Stage::Ready if !self.asked => ClientStage::New,
+            Stage::Startup | Stage::Ready if !self.has_sent_query => ClientStage::New,
             Stage::Startup | Stage::Ready => ClientStage::Between,
             Stage::Waiting(_) => ClientStage::Waiting,
             Stage::Closing => ClientStage::Closing,
@@ -90,16 +90,16 @@
 
 impl Frontend {
     /// Counts and logs that the proxy closes a client's connection.
-    pub(super) fn note_close(&mut self, turn: &Turn, id: SessionId, reason: CloseReason) {
+    pub(super) fn record_close(&mut self, turn: &Turn, id: SessionId, reason: CloseReason) {
         *self.closes.entry(reason.name()).or_default() += 1;
         debug!(turn.log, "client closed"; "why" => reason.name(), "session" => id.0);
     }
 
     /// Records a violation if a session closes while its request is in progress, unless the client ended the
     /// connection.
-    pub(super) fn audit_abandoned(&self, turn: &Turn, exchange: &mut Exchange, id: SessionId) {
+    pub(super) fn check_abandoned(&self, turn: &Turn, exchange: &mut Exchange, id: SessionId) {
         let abandoned =
-            self.sessions.get(&id).is_some_and(|s| matches!(s.stage, Stage::Waiting(_)) && !s.ended);
+            self.sessions.get(&id).is_some_and(|s| matches!(s.stage, Stage::Waiting(_)) && !s.disconnected);
         if abandoned {
             exchange.violated(turn, Rule::ClosedUnanswered, None);
         }
--- a/crates/gradeshunt/src/frontend/eviction.rs
+++ b/crates/gradeshunt/src/frontend/eviction.rs
@@ -53,11 +53,11 @@
     /// has sent no request yet is given [`FIRST_REQUEST_GRACE`], because its request is usually in transit.
     pub(super) fn close_if_draining(&mut self, turn: &mut Turn, id: SessionId) {
         let Some(s) = self.sessions.get(&id) else { return };
-        if self.service == Service::Running || s.is_ending() {
+        if self.service == Service::Running || s.is_closing() {
             return;
         }
-        let fresh =
-            turn.now - s.since <= FIRST_REQUEST_GRACE && self.drain_deadline.is_none_or(|at| turn.now < at);
+        let fresh = turn.now - s.last_active <= FIRST_REQUEST_GRACE
+            && self.drain_deadline.is_none_or(|at| turn.now < at);
         // No grace for other proxies: they resend a request that crosses the close to another proxy.
         if may_close(&s.close_facts(fresh && !s.is_peer())).is_ok() {
             let last = if s.is_peer() { leaving() } else { Writer::default() };
@@ -86,7 +86,7 @@
                 .into_iter()
                 .for_each(|id| self.close_if_draining(turn, id));
         }
-        let open = self.sessions.values().filter(|s| !s.is_ending()).count();
+        let open = self.sessions.values().filter(|s| !s.is_closing()).count();
         if open <= self.most / 8 {
             return;
         }
@@ -98,11 +98,11 @@
         let idle = self.sessions.iter().filter_map(|(id, s)| {
             let limit = match s.stage {
                 Stage::Startup => SLOW_CLIENT,
-                Stage::Ready if s.asked && !s.is_peer() => idle_limit,
+                Stage::Ready if s.has_sent_query && !s.is_peer() => idle_limit,
                 Stage::Ready | Stage::Waiting(_) | Stage::Closing | Stage::Lingering => return None,
             };
-            let old = turn.now - s.since > limit;
-            (old && may_close(&s.close_facts(false)).is_ok()).then_some((s.since, *id))
+            let old = turn.now - s.last_active > limit;
+            (old && may_close(&s.close_facts(false)).is_ok()).then_some((s.last_active, *id))
         });
         let mut idle: Vec<_> = idle.collect();
         idle.sort();
@@ -125,16 +125,16 @@
                 return None;
             }
             let empty = s.inbound.is_empty() && s.outbound.is_empty();
-            eviction_rank(&s.stage, s.asked, empty, turn.now - s.since)
+            eviction_rank(&s.stage, s.has_sent_query, empty, turn.now - s.last_active)
         };
-        let idle = self.sessions.iter().filter_map(|(id, s)| Some((rank(s)?, s.since, *id)));
+        let idle = self.sessions.iter().filter_map(|(id, s)| Some((rank(s)?, s.last_active, *id)));
         let mut idle: Vec<_> = idle.collect();
         idle.sort();
         // A request that is unread in the socket counts as accepted. An incomplete first message does not.
         let may_go = |id: &SessionId| {
             let facts = self.sessions.get(id).map(|s| ClientFacts {
-                message_begun: s.asked && !s.inbound.is_empty(),
-                answer_unwritten: s.asked && !s.outbound.is_empty(),
+                message_begun: s.has_sent_query && !s.inbound.is_empty(),
+                answer_unwritten: s.has_sent_query && !s.outbound.is_empty(),
                 ..s.close_facts(false)
             });
             facts.is_some_and(|facts| may_close(&facts).is_ok())
@@ -142,7 +142,7 @@
         let oldest = idle.into_iter().find(|(_, _, id)| may_go(id));
         if let Some((rank, _, id)) = oldest {
             self.evicted[rank] += 1;
-            self.note_close(turn, id, CloseReason::Room);
+            self.record_close(turn, id, CloseReason::MakeRoom);
             self.close(turn, id);
         }
         oldest.is_some()
--- a/crates/gradeshunt/src/frontend/listener.rs
+++ b/crates/gradeshunt/src/frontend/listener.rs
@@ -128,15 +128,15 @@
             stage: Stage::Startup,
             source,
             leaves_unread: false,
-            skipping: false,
-            ended: false,
-            asked: false,
-            since: turn.now,
-            waited_since: self.backlog_since[usize::from(source == Source::Proxy)],
+            skips_until_sync: false,
+            disconnected: false,
+            has_sent_query: false,
+            last_active: turn.now,
+            backlogged_since: self.backlog_since[usize::from(source == Source::Proxy)],
             due: None,
             origin: Origin::default(),
-            writing: false,
-            wrote: None,
+            may_write: false,
+            last_write: None,
         };
         self.sessions.insert(id, session);
         self.set_due(turn, id, Some(turn.now + MESSAGE_TIMEOUT));
@@ -144,7 +144,7 @@
             warn!(turn.log, "too many clients, turning one away"; "clients" => self.sessions.len());
             let error =
                 Writer::default().error("FATAL", sqlstate::TOO_MANY_CONNECTIONS, "too many clients", None);
-            self.close_with(turn, id, error, CloseReason::Full);
+            self.close_with(turn, id, error, CloseReason::TooManyClients);
         }
         Ok(())
     }
--- a/crates/gradeshunt/src/frontend/messages.rs
+++ b/crates/gradeshunt/src/frontend/messages.rs
@@ -29,7 +29,7 @@
     pub(super) fn work(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: SessionId) {
         for n in 0..=MESSAGES_PER_TURN {
             let Some(s) = self.sessions.get_mut(&id) else { return };
-            if s.ended {
+            if s.disconnected {
                 return self.abandon_session(turn, exchange, id);
             }
             if s.outbound.len() > UNREAD_LIMIT {
@@ -50,7 +50,7 @@
                 Err(Malformed(what)) => {
                     info!(turn.log, "client broke the protocol"; "session" => id.0, "what" => what);
                     let error = Writer::default().error("FATAL", sqlstate::PROTOCOL_VIOLATION, what, None);
-                    self.close_with(turn, id, error, CloseReason::Protocol);
+                    self.close_with(turn, id, error, CloseReason::ProtocolViolation);
                 }
             }
         }
@@ -82,7 +82,7 @@
         id: SessionId,
     ) -> Result<bool, Malformed> {
         let Some(s) = self.sessions.get_mut(&id) else { return Ok(false) };
-        let Some((startup, size)) = pg::startup(s.inbound.bytes())? else { return Ok(false) };
+        let Some((startup, size)) = pg::parse_startup(s.inbound.bytes())? else { return Ok(false) };
         s.inbound.consume(size);
         let w = Writer::default();
         match startup {
@@ -97,7 +97,7 @@
             Startup::Unsupported => {
                 let error =
                     w.error("FATAL", sqlstate::FEATURE_NOT_SUPPORTED, "unsupported frontend protocol", None);
-                self.close_with(turn, id, error, CloseReason::Unsupported);
+                self.close_with(turn, id, error, CloseReason::UnsupportedProtocol);
                 Ok(false)
             }
             Startup::Session { minor, options, parameters } => {
@@ -112,7 +112,7 @@
                     return Ok(false);
                 }
                 let Some(s) = self.sessions.get_mut(&id) else { return Ok(false) };
-                let w = if minor > 0 || !options.is_empty() { w.negotiate(&options) } else { w };
+                let w = if minor > 0 || !options.is_empty() { w.negotiate_version(&options) } else { w };
                 s.stage = Stage::Ready;
                 let fits =
                     s.outbound.push(&w.startup_reply(process_of(id), self.secrets.hash_one(id) as u32).0);
@@ -141,26 +141,28 @@
         id: SessionId,
     ) -> Result<bool, Malformed> {
         let Some(s) = self.sessions.get_mut(&id) else { return Ok(false) };
-        let Some(message) = pg::message(s.inbound.bytes(), pg::FRONTEND)? else { return Ok(false) };
+        let Some(message) = pg::parse_message(s.inbound.bytes(), pg::FRONTEND_MESSAGE_TYPES)? else {
+            return Ok(false);
+        };
         let (tag, size) = (message.tag, message.size);
-        let text = if tag == b'Q' { pg::string(message.body)?.to_vec() } else { Vec::new() };
+        let text = if tag == b'Q' { pg::parse_string(message.body)?.to_vec() } else { Vec::new() };
         let arrived = s.inbound.consume(size).unwrap_or(turn.now);
-        s.since = turn.now;
-        s.asked |= tag == b'Q';
-        let skipping = s.skipping;
+        s.last_active = turn.now;
+        s.has_sent_query |= tag == b'Q';
+        let skipping = s.skips_until_sync;
         let w = Writer::default();
         let reply = match tag {
             // Terminate while the last answer is not completely written: the session closes once it is.
             b'X' if !s.outbound.is_empty() => {
-                self.close_with(turn, id, w, CloseReason::Goodbye);
+                self.close_with(turn, id, w, CloseReason::Terminate);
                 return Ok(false);
             }
             b'X' => {
-                s.ended = true;
+                s.disconnected = true;
                 return Ok(true);
             }
             b'S' => {
-                s.skipping = false;
+                s.skips_until_sync = false;
                 w.ready()
             }
             _ if skipping => return Ok(true),
@@ -179,7 +181,7 @@
                 Err(what) => w.error("ERROR", sqlstate::INVALID_PARAMETER, &what, None).ready(),
             },
             b'P' | b'B' | b'D' | b'E' | b'C' | b'H' => {
-                s.skipping = tag != b'H';
+                s.skips_until_sync = tag != b'H';
                 w.error("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, "only simple queries are supported", None)
             }
             b'F' => w
--- a/crates/gradeshunt/src/frontend/peers.rs
+++ b/crates/gradeshunt/src/frontend/peers.rs
@@ -36,7 +36,12 @@
         } else {
             return true;
         };
-        self.close_with(turn, id, Writer::default().error("FATAL", code, what, None), CloseReason::Stranger);
+        self.close_with(
+            turn,
+            id,
+            Writer::default().error("FATAL", code, what, None),
+            CloseReason::PeerNotAdmitted,
+        );
         false
     }
 }
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -13,7 +13,7 @@
 use crate::inbound::Inbound;
 use crate::memory;
 use crate::pg::{sqlstate, Writer};
-use crate::ring::{Moved, Ring, SMALL};
+use crate::ring::{Ring, Transfer, INITIAL_RING_SIZE};
 use crate::routing::Origin;
 use crate::turn::{Polled, Source, Turn};
 
@@ -57,24 +57,24 @@
     /// Whether the connection is a client's or another proxy's, by the listener that accepted it.
     pub(super) source: gradeshunt_placement::Source,
     /// Whether messages are ignored until Sync, because an unsupported one was answered with an error.
-    pub(super) skipping: bool,
+    pub(super) skips_until_sync: bool,
     /// Whether the client has ended the connection, or the connection is broken.
-    pub(super) ended: bool,
+    pub(super) disconnected: bool,
     /// Whether the client has sent a query.
-    pub(super) asked: bool,
+    pub(super) has_sent_query: bool,
     /// When the session was accepted, last received a message or last got an answer.
-    pub(super) since: Micros,
+    pub(super) last_active: Micros,
     /// The time since which the connection, and what the client sent on it, may have waited in the listen
     /// backlog. Taken at the first read.
-    pub(super) waited_since: Option<Micros>,
+    pub(super) backlogged_since: Option<Micros>,
     /// When the session's deadline expires, if one is set.
     pub(super) due: Option<Micros>,
     /// The user, database and application of the startup message.
     pub(super) origin: Origin,
     /// Whether the plain statement in progress may write.
-    pub(super) writing: bool,
+    pub(super) may_write: bool,
     /// When the last plain statement that may have written was answered.
-    pub(super) wrote: Option<Micros>,
+    pub(super) last_write: Option<Micros>,
 }
 
 impl Session {
@@ -84,7 +84,7 @@
     }
 
     /// Whether the session's last message is being written or already is.
-    pub(super) fn is_ending(&self) -> bool {
+    pub(super) fn is_closing(&self) -> bool {
         matches!(self.stage, Stage::Closing | Stage::Lingering)
     }
 }
@@ -95,22 +95,27 @@
         let Some(s) = self.sessions.get(&id).filter(|s| s.due.is_some_and(|due| due <= turn.now)) else {
             return;
         };
-        if s.is_ending() {
+        if s.is_closing() {
             return self.close(turn, id);
         }
         let (code, what) = (sqlstate::PROTOCOL_VIOLATION, "no whole message in time");
-        self.close_with(turn, id, Writer::default().error("FATAL", code, what, None), CloseReason::Slow);
+        self.close_with(
+            turn,
+            id,
+            Writer::default().error("FATAL", code, what, None),
+            CloseReason::MessageTimeout,
+        );
     }
 
     /// Reads from a session whose socket is ready, and processes what was read.
     pub fn ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: SessionId) {
         let mut full = false;
-        let waited = self.sessions.get_mut(&id).and_then(|s| s.waited_since.take());
+        let waited = self.sessions.get_mut(&id).and_then(|s| s.backlogged_since.take());
         let arrived = waited.unwrap_or(turn.now - turn.unread);
         for n in 0..=READS_PER_TURN {
             let Some(s) = self.sessions.get_mut(&id) else { return };
-            if s.is_ending() && s.leaves_unread {
-                s.ended |= s.polled.has_hung_up();
+            if s.is_closing() && s.leaves_unread {
+                s.disconnected |= s.polled.has_hung_up();
                 break;
             }
             if n == READS_PER_TURN {
@@ -120,29 +125,29 @@
             }
             full = s.inbound.is_full();
             match s.inbound.fill(&s.polled.socket, arrived) {
-                Ok(Moved::Some(_)) if s.is_ending() => s.inbound.clear(),
-                Ok(Moved::Some(_)) => {
+                Ok(Transfer::Bytes(_)) if s.is_closing() => s.inbound.clear(),
+                Ok(Transfer::Bytes(_)) => {
                     // Refusing one large request is better than having the process killed for its memory use.
                     let waiting = matches!(s.stage, Stage::Waiting(_));
-                    if s.inbound.len() > SMALL && !waiting && memory::held() > self.most_memory {
+                    if s.inbound.len() > INITIAL_RING_SIZE && !waiting && memory::held() > self.most_memory {
                         warn!(turn.log, "too much in buffers, turning a client away"; "bytes" => memory::held());
                         let w = Writer::default();
                         let error = w.error("FATAL", sqlstate::TOO_MANY_CONNECTIONS, "out of memory", None);
-                        return self.close_with(turn, id, error, CloseReason::Memory);
+                        return self.close_with(turn, id, error, CloseReason::OutOfMemory);
                     }
                 }
                 // A full ring prevents the read that would show the end of the connection.
-                Ok(Moved::Nothing) if s.inbound.is_full() && s.polled.has_hung_up() => {
-                    s.ended = true;
+                Ok(Transfer::Blocked) if s.inbound.is_full() && s.polled.has_hung_up() => {
+                    s.disconnected = true;
                     break;
                 }
-                Ok(Moved::Nothing) if s.inbound.is_full() => {
+                Ok(Transfer::Blocked) if s.inbound.is_full() => {
                     s.inbound.note_unread(&s.polled.socket, arrived);
                     break;
                 }
-                Ok(Moved::Nothing) => break,
-                Ok(Moved::End) | Err(_) => {
-                    s.ended = true;
+                Ok(Transfer::Blocked) => break,
+                Ok(Transfer::End) | Err(_) => {
+                    s.disconnected = true;
                     break;
                 }
             }
@@ -161,11 +166,11 @@
         let mut moved = false;
         loop {
             match s.outbound.drain(&s.polled.socket) {
-                Ok(Moved::Some(_)) => moved = true,
+                Ok(Transfer::Bytes(_)) => moved = true,
                 Ok(_) => break,
                 Err(_) => {
                     // The connection is broken. The session is closed when it is next processed.
-                    s.ended = true;
+                    s.disconnected = true;
                     return turn.again.push(Source::Session(id));
                 }
             }
@@ -188,12 +193,12 @@
     /// Writes the last message of a connection and closes the connection once the client has had time to read
     /// it.
     pub(super) fn close_with(&mut self, turn: &mut Turn, id: SessionId, last: Writer, reason: CloseReason) {
-        let Some(s) = self.sessions.get_mut(&id).filter(|s| !s.is_ending()) else { return };
+        let Some(s) = self.sessions.get_mut(&id).filter(|s| !s.is_closing()) else { return };
         s.stage = Stage::Closing;
         s.leaves_unread = reason.leaves_unread();
         s.inbound.clear();
         let _ = s.outbound.push(&last.0);
-        self.note_close(turn, id, reason);
+        self.record_close(turn, id, reason);
         self.set_due(turn, id, Some(turn.now + CLOSE_STALL_TIMEOUT));
         self.flush(turn, id);
     }
@@ -205,7 +210,7 @@
             Stage::Waiting(request) => Some(request),
             Stage::Startup | Stage::Ready | Stage::Closing | Stage::Lingering => None,
         });
-        self.audit_abandoned(turn, exchange, id);
+        self.check_abandoned(turn, exchange, id);
         if let Some(request) = waiting {
             self.release_request(request);
             exchange.gone(turn, request);
--- a/crates/gradeshunt/src/frontend/statements.rs
+++ b/crates/gradeshunt/src/frontend/statements.rs
@@ -52,7 +52,7 @@
             return Ok(Step::Reply(w.message(b'C', &[verb.as_bytes(), b"\0"]).ready()));
         }
         let source = self.sessions.get(&session).map_or(Source::Client, |s| s.source);
-        let c = match pg::comment(statement) {
+        let c = match pg::parse_routing_comment(statement) {
             // Other proxies forward only statements with a routing comment, since a plain statement depends
             // on its session, which the forwarding proxy holds.
             Err(_) if self.router.is_some() && source == Source::Client => {
@@ -75,7 +75,7 @@
         if self.ids.contains(c.id) {
             return Err("the id is that of an open request".to_owned());
         }
-        if matches!(effect, Effect::Keyed { .. }) && !c.keyed {
+        if matches!(effect, Effect::Keyed { .. }) && !c.has_key {
             return Err(format!("a request of class {:?} needs a key k", c.class));
         }
         let key = matches!(read, ReadLevel::Session | ReadLevel::Write).then(|| pg::first_literal(statement));
@@ -115,9 +115,9 @@
         };
         let Routed { class, group, wait, comment, writes } = routed;
         self.plain += 1;
-        s.writing = writes;
+        s.may_write = writes;
         let session_reads = self.settings.classes[class.0].read == ReadLevel::Session;
-        let since_write = s.wrote.filter(|_| session_reads).map(|at| (turn.now - at).max(1));
+        let since_write = s.last_write.filter(|_| session_reads).map(|at| (turn.now - at).max(1));
         let id: Rc<str> = format!("plain-{:x}-{:x}", session.0, self.plain).into();
         let body = if comment {
             let mut body = format!("/* id={id},c={},d=", self.names.classes[class.0]);
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -11,8 +11,8 @@
 use super::Frontend;
 use crate::exchange::{Body, Call, Exchange, Final, Form};
 use crate::ids::SessionId;
-use crate::pg::{Writer, LONGEST_ANSWER};
-use crate::ring::LARGEST;
+use crate::pg::{Writer, MAX_BUFFERED_ANSWER};
+use crate::ring::MAX_RING_SIZE;
 use crate::turn::{Ready, Turn};
 
 /// Slow clients are not evicted early when many clients are open: they may take 2 s to send a request, and
@@ -71,10 +71,10 @@
     socket2::SockRef::from(&**socket).set_send_buffer_size(32 * 1024).expect("the buffer size can be set");
     socket2::SockRef::from(&client).set_recv_buffer_size(32 * 1024).expect("the buffer size can be set");
     let mut sent = 0;
-    while frontend.sessions[&id].outbound.len() <= LARGEST / 2 {
+    while frontend.sessions[&id].outbound.len() <= MAX_RING_SIZE / 2 {
         let s = frontend.sessions.get_mut(&id).expect("the connection is open");
-        assert!(s.outbound.push(&[b'x'; LONGEST_ANSWER]));
-        sent += LONGEST_ANSWER;
+        assert!(s.outbound.push(&[b'x'; MAX_BUFFERED_ANSWER]));
+        sent += MAX_BUFFERED_ANSWER;
         frontend.flush(&mut turn, id);
     }
     frontend.close_with(&mut turn, id, Writer::default(), CloseReason::Idle);
@@ -103,7 +103,7 @@
     let (mut frontend, mut turn, _client, id, _poll) = one_client();
     while frontend.sessions[&id].outbound.is_empty() {
         let s = frontend.sessions.get_mut(&id).expect("the connection is open");
-        assert!(s.outbound.push(&[b'x'; LONGEST_ANSWER]));
+        assert!(s.outbound.push(&[b'x'; MAX_BUFFERED_ANSWER]));
         frontend.flush(&mut turn, id);
     }
     frontend.close_with(&mut turn, id, Writer::default(), CloseReason::Idle);
@@ -257,7 +257,7 @@
     let behind_a_full_ring = |pipeline: &mut Pipeline| {
         // The proxy answers these statements itself, once the request before them is answered.
         let mut filler = b"SET a TO b".to_vec();
-        filler.resize(LARGEST / 4 - 6, b' ');
+        filler.resize(MAX_RING_SIZE / 4 - 6, b' ');
         let filler = Writer::default().query(&[&filler]).0;
         for _ in 0..4 {
             for piece in filler.chunks(4096) {
--- a/crates/gradeshunt/src/inbound.rs
+++ b/crates/gradeshunt/src/inbound.rs
@@ -10,7 +10,7 @@
 
 use leadmast::Micros;
 
-use crate::ring::{Moved, Ring};
+use crate::ring::{Ring, Transfer};
 
 /// Maximum number of arrival ranges per connection. It bounds the memory for a client that sends single
 /// bytes.
@@ -119,9 +119,9 @@
     /// # Errors
     ///
     /// Errors of the socket, except that it would block.
-    pub fn fill(&mut self, socket: &TcpStream, at: Micros) -> io::Result<Moved> {
+    pub fn fill(&mut self, socket: &TcpStream, at: Micros) -> io::Result<Transfer> {
         let moved = self.ring.fill(socket)?;
-        if let Moved::Some(_) = moved {
+        if let Transfer::Bytes(_) = moved {
             let end = self.arrivals.consumed + self.ring.len() as u64;
             self.arrivals.record(end, at);
         }
--- a/crates/gradeshunt/src/inbound/tests.rs
+++ b/crates/gradeshunt/src/inbound/tests.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 
 use super::*;
-use crate::ring::LARGEST;
+use crate::ring::MAX_RING_SIZE;
 
 /// Returns the two ends of a real connection; the second one is non-blocking.
 fn connection() -> (TcpStream, TcpStream) {
@@ -45,7 +45,7 @@
 fn bytes_that_wait_in_the_socket_have_arrived() {
     let (mut client, server) = connection();
     let mut inbound = Inbound::default();
-    for _ in 0..LARGEST / 1024 {
+    for _ in 0..MAX_RING_SIZE / 1024 {
         pass(&mut client, &server, &mut inbound, &[b'x'; 1024], 5);
     }
     assert!(inbound.is_full());
@@ -55,7 +55,7 @@
     inbound.note_unread(&server, 100);
     client.write_all(b"z").expect("the connection is open");
     while unread() < 3 {}
-    assert_eq!(inbound.consume(LARGEST), Some(5));
+    assert_eq!(inbound.consume(MAX_RING_SIZE), Some(5));
     while inbound.len() < 3 {
         inbound.fill(&server, 700).expect("the connection is open");
     }
--- a/crates/gradeshunt/src/pg.rs
+++ b/crates/gradeshunt/src/pg.rs
@@ -5,25 +5,25 @@
 
 use leadmast::Micros;
 
-use crate::ring::LARGEST;
+use crate::ring::MAX_RING_SIZE;
 
 /// Size in bytes of a Query message with an empty statement.
 pub const EMPTY_QUERY_SIZE: usize = 6;
 /// Maximum size of a message with its type byte, so that a ring holds one message behind an empty query.
-pub const LONGEST_MESSAGE: usize = LARGEST - EMPTY_QUERY_SIZE - 1;
+pub const MAX_MESSAGE_SIZE: usize = MAX_RING_SIZE - EMPTY_QUERY_SIZE - 1;
 /// Maximum size with framing of a row that is received whole before any of it is passed on, and of any row.
-pub const WHOLE_ROW: usize = 64 * 1024 + 64;
-pub const LONGEST_ROW: usize = 4 * 1024 * 1024 + 64;
+pub const MAX_BUFFERED_ROW: usize = 64 * 1024 + 64;
+pub const MAX_ROW_SIZE: usize = 4 * 1024 * 1024 + 64;
 /// Maximum size of an answer that is received whole, including the messages around its row.
-pub const LONGEST_ANSWER: usize = 96 * 1024;
+pub const MAX_BUFFERED_ANSWER: usize = 96 * 1024;
 /// Maximum size of a startup packet, as in PostgreSQL.
-const LONGEST_STARTUP: usize = 10_000;
+const MAX_STARTUP_SIZE: usize = 10_000;
 
 /// Maximum length of a request id, which bounds the memory for the ids of requests in progress.
-const LONGEST_ID: usize = 64;
+const MAX_ID_LENGTH: usize = 64;
 
 /// Size of a message's type byte and length field.
-const HEADER: usize = 5;
+const HEADER_SIZE: usize = 5;
 
 const PROTOCOL_3: u32 = 3 << 16;
 const CANCEL_REQUEST: u32 = (1234 << 16) | 5678;
@@ -52,7 +52,7 @@
     /// Whether an error comes from the statement itself, so that every db host would return it: feature not
     /// supported, cardinality, data, constraint, syntax or access, check option, or an error raised by a
     /// function.
-    pub fn is_verdict(code: &str) -> bool {
+    pub fn is_statement_error(code: &str) -> bool {
         ["0A", "21", "22", "23", "42", "44", "P0"].iter().any(|class| code.starts_with(class))
     }
 }
@@ -83,9 +83,9 @@
 }
 
 /// Parses a startup packet and returns it with its size, or `None` until it is complete.
-pub fn startup(bytes: &[u8]) -> Result<Option<(Startup, usize)>, Malformed> {
+pub fn parse_startup(bytes: &[u8]) -> Result<Option<(Startup, usize)>, Malformed> {
     let Some(size) = be32(bytes, 0).map(|n| n as usize) else { return Ok(None) };
-    if !(8..=LONGEST_STARTUP).contains(&size) {
+    if !(8..=MAX_STARTUP_SIZE).contains(&size) {
         return Err(Malformed("invalid length of startup packet"));
     }
     let (Some(code), Some(packet)) = (be32(bytes, 4), bytes.get(8..size)) else { return Ok(None) };
@@ -118,45 +118,45 @@
 }
 
 /// The types of messages that clients may send, and those that db hosts may send.
-pub const FRONTEND: &[u8] = b"QXSPBDECHFdcf";
-pub const BACKEND: &[u8] = b"RSKNvZETDCAI";
+pub const FRONTEND_MESSAGE_TYPES: &[u8] = b"QXSPBDECHFdcf";
+pub const BACKEND_MESSAGE_TYPES: &[u8] = b"RSKNvZETDCAI";
 
 /// Parses a message of one of the types in `tags`; returns `None` until it is complete. Invalid input fails
 /// by its header, so that nobody waits for as many bytes as its length field claims.
-pub fn message<'a>(bytes: &'a [u8], tags: &[u8]) -> Result<Option<Message<'a>>, Malformed> {
-    let Some((tag, size)) = header_up_to(bytes, tags, LONGEST_MESSAGE)? else { return Ok(None) };
-    Ok(bytes.get(HEADER..size).map(|body| Message { tag, body, size }))
+pub fn parse_message<'a>(bytes: &'a [u8], tags: &[u8]) -> Result<Option<Message<'a>>, Malformed> {
+    let Some((tag, size)) = parse_header_up_to(bytes, tags, MAX_MESSAGE_SIZE)? else { return Ok(None) };
+    Ok(bytes.get(HEADER_SIZE..size).map(|body| Message { tag, body, size }))
 }
 
 /// Returns the type and size of a message of one of the types in `tags`, which may be a long row; `None`
 /// until its header is complete.
-pub fn header(bytes: &[u8], tags: &[u8]) -> Result<Option<(u8, usize)>, Malformed> {
-    header_up_to(bytes, tags, LONGEST_ROW)
+pub fn parse_header(bytes: &[u8], tags: &[u8]) -> Result<Option<(u8, usize)>, Malformed> {
+    parse_header_up_to(bytes, tags, MAX_ROW_SIZE)
 }
 
-fn header_up_to(bytes: &[u8], tags: &[u8], longest: usize) -> Result<Option<(u8, usize)>, Malformed> {
+fn parse_header_up_to(bytes: &[u8], tags: &[u8], longest: usize) -> Result<Option<(u8, usize)>, Malformed> {
     let Some(tag) = bytes.first() else { return Ok(None) };
     if !tags.contains(tag) {
         return Err(Malformed("invalid message type"));
     }
     let Some(length) = be32(bytes, 1) else { return Ok(None) };
     let size = length as usize + 1;
-    if !(HEADER..=longest).contains(&size) {
+    if !(HEADER_SIZE..=longest).contains(&size) {
         return Err(Malformed("invalid message length"));
     }
     Ok(Some((*tag, size)))
 }
 
-/// Returns the size of a DataRow of one column that is larger than [`WHOLE_ROW`]. Returns `None` while its
+/// Returns the size of a DataRow of one column that is larger than [`MAX_BUFFERED_ROW`]. Returns `None` while its
 /// header is incomplete, and for any other message.
-pub fn long_row(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
+pub fn long_row_size(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     let (Some(b'D'), Some(length), Some(value)) = (bytes.first(), be32(bytes, 1), be32(bytes, 7)) else {
         return Ok(None);
     };
     let (size, value) = (length as usize + 1, value as usize);
-    if size <= WHOLE_ROW {
+    if size <= MAX_BUFFERED_ROW {
         Ok(None)
-    } else if size > LONGEST_ROW || bytes[5..7] != [0, 1] || size != 11 + value {
+    } else if size > MAX_ROW_SIZE || bytes[5..7] != [0, 1] || size != 11 + value {
         Err(Malformed("invalid DataRow"))
     } else {
         Ok(Some(size))
@@ -164,7 +164,7 @@
 }
 
 /// Returns the text of a message body that consists of a single string.
-pub fn string(body: &[u8]) -> Result<&[u8], Malformed> {
+pub fn parse_string(body: &[u8]) -> Result<&[u8], Malformed> {
     match body.split_last() {
         Some((0, text)) if !text.contains(&0) => Ok(text),
         _ => Err(Malformed("invalid string in message")),
@@ -173,7 +173,7 @@
 
 /// Returns the name and value of a ParameterStatus, or `None` if it can't be parsed. This is no error, since
 /// the message may arrive within a valid answer.
-pub fn parameter_status(body: &[u8]) -> Option<(&str, &str)> {
+pub fn parse_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let mut parts = std::str::from_utf8(body).ok()?.split('\0');
     match (parts.next(), parts.next(), parts.next(), parts.next()) {
         (Some(name), Some(value), Some(""), None) => Some((name, value)),
@@ -184,7 +184,7 @@
 /// Returns the SQLSTATE of an ErrorResponse and checks its whole body: fields of a letter and a string each,
 /// and a zero byte after the last. Clients receive the message unchanged, so one that a client can't parse is
 /// rejected.
-pub fn error_code(body: &[u8]) -> Result<&str, Malformed> {
+pub fn parse_error_code(body: &[u8]) -> Result<&str, Malformed> {
     let invalid = Malformed("invalid ErrorResponse");
     let text = std::str::from_utf8(body).map_err(|_| Malformed("ErrorResponse that is not UTF-8"))?;
     let fields = text.strip_suffix("\0\0").ok_or(invalid)?;
@@ -267,7 +267,7 @@
     }
 
     /// Appends NegotiateProtocolVersion: only minor version 0 and none of these options are supported.
-    pub fn negotiate(self, options: &[String]) -> Self {
+    pub fn negotiate_version(self, options: &[String]) -> Self {
         let mut names = Vec::new();
         options.iter().for_each(|o| names.extend(o.bytes().chain([0])));
         self.message(b'v', &[&0u32.to_be_bytes(), &(options.len() as u32).to_be_bytes(), &names])
@@ -315,11 +315,11 @@
 
 /// The contents of a routing comment.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Comment<'a> {
+pub struct RoutingComment<'a> {
     /// The request's id, unique among requests in progress.
     pub id: &'a str,
     /// Whether the comment has an idempotency key.
-    pub keyed: bool,
+    pub has_key: bool,
     pub class: &'a str,
     /// The tenant to which the request belongs.
     pub tenant: Option<&'a str>,
@@ -336,12 +336,12 @@
 }
 
 /// Parses the routing comment at the start of a statement: `/* name=value,name=value */`.
-pub fn comment(statement: &str) -> Result<Comment<'_>, String> {
+pub fn parse_routing_comment(statement: &str) -> Result<RoutingComment<'_>, String> {
     let start = statement.len() - statement.trim_start().len();
     let inner = statement[start..].strip_prefix("/*").and_then(|s| s.split_once("*/"));
     let (inner, _) = inner.ok_or("the statement has no routing comment")?;
     let mut at = start + 2;
-    let (mut id, mut keyed, mut class, mut wait) = (None, false, None, None);
+    let (mut id, mut has_key, mut class, mut wait) = (None, false, None, None);
     let (mut repeat, mut cluster, mut after, mut tenant) = (false, None, None, None);
     for pair in inner.split(',') {
         let from = at + (pair.len() - pair.trim_start().len());
@@ -350,8 +350,8 @@
             pair.trim().split_once('=').ok_or("the routing comment has a name without a value")?;
         let bad = |_| format!("the routing comment's {name} is not a number");
         match name {
-            "id" => id = Some(value).filter(|v| (1..=LONGEST_ID).contains(&v.len())),
-            "k" => keyed = !value.is_empty(),
+            "id" => id = Some(value).filter(|v| (1..=MAX_ID_LENGTH).contains(&v.len())),
+            "k" => has_key = !value.is_empty(),
             "c" => class = Some(value),
             "t" => tenant = Some(value),
             "d" => {
@@ -369,7 +369,7 @@
     let id = id.ok_or("the routing comment has no usable id")?;
     let class = class.ok_or("the routing comment has no c")?;
     let cluster = cluster.ok_or("the routing comment has no cluster")?;
-    Ok(Comment { id, keyed, class, tenant, wait_ms, wait_at, repeat, cluster, after })
+    Ok(RoutingComment { id, has_key: has_key, class, tenant, wait_ms, wait_at, repeat, cluster, after })
 }
 
 /// Returns the first quoted literal after the comment; it identifies the session.
--- a/crates/gradeshunt/src/ring.rs
+++ b/crates/gradeshunt/src/ring.rs
@@ -8,25 +8,25 @@
 use crate::memory::Held;
 
 /// Initial size of a ring's buffer in bytes.
-pub const SMALL: usize = 2 * 1024;
+pub const INITIAL_RING_SIZE: usize = 2 * 1024;
 /// Maximum size of a ring's buffer in bytes: the longest message with an empty query before it.
-pub const LARGEST: usize = 256 * 1024;
+pub const MAX_RING_SIZE: usize = 256 * 1024;
 
 /// How often a system call is retried that fails for want of memory, before its connection counts as broken.
-const MOST_WANTS: usize = 64;
+const MAX_MEMORY_RETRIES: usize = 64;
 
 /// The result of one read or write of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Moved {
+pub enum Transfer {
     /// This many bytes moved.
-    Some(usize),
+    Bytes(usize),
     /// No byte moved: the socket would block, or the ring is full (read) or empty (write).
-    Nothing,
+    Blocked,
     /// The peer has shut down its sending side.
     End,
 }
 
-/// A byte queue over a buffer that grows up to [`LARGEST`] and shrinks when it is empty.
+/// A byte queue over a buffer that grows up to [`MAX_RING_SIZE`] and shrinks when it is empty.
 #[derive(Default)]
 pub struct Ring {
     buf: Vec<u8>,
@@ -45,17 +45,17 @@
     }
 
     pub fn is_full(&self) -> bool {
-        self.len >= LARGEST
+        self.len >= MAX_RING_SIZE
     }
 
     /// Appends all bytes, or none and returns false if they don't fit.
     #[must_use]
     pub fn push(&mut self, bytes: &[u8]) -> bool {
-        if self.len + bytes.len() > LARGEST {
+        if self.len + bytes.len() > MAX_RING_SIZE {
             return false;
         }
         self.grow(self.len + bytes.len());
-        let (first, second) = self.spare();
+        let (first, second) = self.free_space();
         let n = first.len().min(bytes.len());
         first[..n].copy_from_slice(&bytes[..n]);
         second[..bytes.len() - n].copy_from_slice(&bytes[n..]);
@@ -74,7 +74,7 @@
         self.len -= n;
         self.head = if self.len == 0 { 0 } else { (self.head + n) % self.buf.len() };
         // Most connections are idle most of the time, so an empty ring frees the memory of a large message.
-        if self.len == 0 && self.buf.len() > SMALL {
+        if self.len == 0 && self.buf.len() > INITIAL_RING_SIZE {
             self.buf = Vec::new();
             self.held.set(0);
         }
@@ -90,41 +90,41 @@
     }
 
     /// Reads once from the socket into the free space.
-    pub fn fill(&mut self, mut socket: &TcpStream) -> io::Result<Moved> {
+    pub fn fill(&mut self, mut socket: &TcpStream) -> io::Result<Transfer> {
         if self.is_full() {
-            return Ok(Moved::Nothing);
+            return Ok(Transfer::Blocked);
         }
         if self.len == self.buf.len() {
             self.grow(self.len + 1);
         }
-        let (first, second) = self.spare();
+        let (first, second) = self.free_space();
         let mut parts = [IoSliceMut::new(first), IoSliceMut::new(second)];
-        match made_again(|| socket.read_vectored(&mut parts)) {
-            Ok(0) => Ok(Moved::End),
+        match retry_interrupted(|| socket.read_vectored(&mut parts)) {
+            Ok(0) => Ok(Transfer::End),
             Ok(n) => {
                 self.len += n;
-                Ok(Moved::Some(n))
+                Ok(Transfer::Bytes(n))
             }
-            Err(e) => blocked(e),
+            Err(e) => map_would_block(e),
         }
     }
 
     /// Writes once to the socket.
-    pub fn drain(&mut self, mut socket: &TcpStream) -> io::Result<Moved> {
+    pub fn drain(&mut self, mut socket: &TcpStream) -> io::Result<Transfer> {
         if self.len == 0 {
-            return Ok(Moved::Nothing);
+            return Ok(Transfer::Blocked);
         }
         let end = self.head + self.len;
         let first = &self.buf[self.head..end.min(self.buf.len())];
         let second = &self.buf[..end.saturating_sub(self.buf.len())];
         let parts = [IoSlice::new(first), IoSlice::new(second)];
-        match made_again(|| socket.write_vectored(&parts)) {
+        match retry_interrupted(|| socket.write_vectored(&parts)) {
             Ok(0) => Err(io::ErrorKind::WriteZero.into()),
             Ok(n) => {
                 self.consume(n);
-                Ok(Moved::Some(n))
+                Ok(Transfer::Bytes(n))
             }
-            Err(e) => blocked(e),
+            Err(e) => map_would_block(e),
         }
     }
 
@@ -133,14 +133,14 @@
             return;
         }
         self.bytes();
-        let mut larger = vec![0; needed.next_power_of_two().clamp(SMALL, LARGEST)];
+        let mut larger = vec![0; needed.next_power_of_two().clamp(INITIAL_RING_SIZE, MAX_RING_SIZE)];
         larger[..self.len].copy_from_slice(&self.buf[self.head..self.head + self.len]);
         self.held.set(larger.len());
         (self.buf, self.head) = (larger, 0);
     }
 
     /// The free space as two slices, in the order in which they are filled.
-    fn spare(&mut self) -> (&mut [u8], &mut [u8]) {
+    fn free_space(&mut self) -> (&mut [u8], &mut [u8]) {
         let (size, end) = (self.buf.len(), self.head + self.len);
         if end >= size {
             (&mut self.buf[end - size..self.head], &mut [])
@@ -151,27 +151,27 @@
     }
 }
 
-/// Retries a system call while signals interrupt it, and up to [`MOST_WANTS`] times if the system lacks
+/// Retries a system call while signals interrupt it, and up to [`MAX_MEMORY_RETRIES`] times if the system lacks
 /// memory for it. The poll is edge-triggered and reports a socket again only after a call that would block,
 /// so whoever stops after another error is never woken.
-pub fn made_again<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let mut wants = 0;
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let mut memory_retries = 0;
     loop {
         match call() {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) if is_want_of_memory(&e) && wants < MOST_WANTS => wants += 1,
+            Err(e) if is_out_of_memory(&e) && memory_retries < MAX_MEMORY_RETRIES => memory_retries += 1,
             done => return done,
         }
     }
 }
 
-fn is_want_of_memory(e: &io::Error) -> bool {
+fn is_out_of_memory(e: &io::Error) -> bool {
     matches!(Errno::from_io_error(e), Some(Errno::NOMEM | Errno::NOBUFS))
 }
 
-fn blocked(e: io::Error) -> io::Result<Moved> {
+fn map_would_block(e: io::Error) -> io::Result<Transfer> {
     match e.kind() {
-        io::ErrorKind::WouldBlock => Ok(Moved::Nothing),
+        io::ErrorKind::WouldBlock => Ok(Transfer::Blocked),
         _ => Err(e),
     }
 }
--- a/crates/gradeshunt/src/ring/tests.rs
+++ b/crates/gradeshunt/src/ring/tests.rs
@@ -24,10 +24,10 @@
 #[test]
 fn is_bounded_and_shrinks() {
     let mut ring = Ring::default();
-    assert!(ring.push(&vec![1; LARGEST]));
+    assert!(ring.push(&vec![1; MAX_RING_SIZE]));
     assert!(ring.is_full() && !ring.push(&[1]));
-    assert_eq!(memory::held(), LARGEST);
-    ring.consume(LARGEST);
+    assert_eq!(memory::held(), MAX_RING_SIZE);
+    ring.consume(MAX_RING_SIZE);
     assert_eq!((ring.buf.len(), memory::held()), (0, 0));
     assert!(ring.push(&[1]));
     drop(ring);
--- a/crates/gradeshunt/src/turn.rs
+++ b/crates/gradeshunt/src/turn.rs
@@ -15,7 +15,7 @@
 use crate::clock::Clock;
 use crate::deadlines::Deadlines;
 use crate::ids::{CallId, CallerId, ServerId, SessionId};
-use crate::ring::made_again;
+use crate::ring::retry_interrupted;
 
 /// An event source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -155,7 +155,7 @@
 impl Polled {
     /// Whether nothing is unread: no bytes, no end of stream, no error.
     pub fn is_quiet(&self) -> bool {
-        let peeked = made_again(|| self.socket.peek(&mut [0]));
+        let peeked = retry_interrupted(|| self.socket.peek(&mut [0]));
         matches!(peeked, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
