--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -30,24 +30,24 @@
 
 /// No further request of a session starts while its client has left more than this many bytes of answers
 /// unread, so that the output ring always has room for one more answer.
-const UNREAD_LIMIT: usize = MAX_RING_SIZE - MAX_BUFFERED_ANSWER - 1024;
+const MAX_UNREAD_BYTES: usize = MAX_RING_SIZE - MAX_BUFFERED_ANSWER - 1024;
 // A final answer always fits into the output ring behind the bytes that the client has not read yet. Those
-// are at most `UNREAD_LIMIT` when a request starts; of a streamed result, at most `ROOM` and one whole row
+// are at most `MAX_UNREAD_BYTES` when a request starts; of a streamed result, at most `ROOM` and one whole row
 // are buffered.
 const _: () = assert!(
-    UNREAD_LIMIT + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
+    MAX_UNREAD_BYTES + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
         && ROOM + MAX_BUFFERED_ROW + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
 );
 
 /// The session that waits for a request's answer, and the request's id as the client gave it.
-struct Owner {
+struct RequestOwner {
     session: SessionId,
     id: Rc<str>,
 }
 
 /// Whether the proxy serves clients or drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Service {
+enum ServiceState {
     Running,
     /// An operator drains the proxy: requests are still served, and clients are closed between requests.
     Standby,
@@ -66,20 +66,20 @@
     peer_names: BTreeSet<String>,
     settings: Settings,
     names: Names,
-    most: usize,
-    most_memory: usize,
+    max_clients: usize,
+    max_buffered: usize,
     sessions: BTreeMap<SessionId, Session>,
-    owners: HashMap<RequestId, Owner>,
+    owners: HashMap<RequestId, RequestOwner>,
     /// Hashes session ids into the secret keys that cancel requests must present.
-    secrets: RandomState,
+    secret_hasher: RandomState,
     /// The ids of requests in progress, as clients gave them.
-    ids: HashSet<Rc<str>>,
-    next: u64,
-    service: Service,
+    open_ids: HashSet<Rc<str>>,
+    next_session: u64,
+    service: ServiceState,
     /// After SIGTERM: the time by which every accepted request is answered.
     drain_deadline: Option<Micros>,
     /// Clients closed to make room since the last summary, counted by eviction rank.
-    evicted: [u32; 6],
+    evictions_by_rank: [u32; 6],
     /// Client connections that the proxy closed since its start, by reason.
     pub closes: BTreeMap<&'static str, u64>,
     /// Whether the proxy has a list of db hosts yet.
@@ -100,16 +100,16 @@
             peer_names: BTreeSet::new(),
             settings,
             names,
-            most: 0,
-            most_memory: 0,
+            max_clients: 0,
+            max_buffered: 0,
             sessions: BTreeMap::new(),
             owners: HashMap::new(),
-            secrets: RandomState::new(),
-            ids: HashSet::new(),
-            next: 0,
-            service: Service::Running,
+            secret_hasher: RandomState::new(),
+            open_ids: HashSet::new(),
+            next_session: 0,
+            service: ServiceState::Running,
             drain_deadline: None,
-            evicted: [0; 6],
+            evictions_by_rank: [0; 6],
             closes: BTreeMap::new(),
             has_hosts: false,
             router: None,
@@ -118,7 +118,7 @@
     }
 
     /// Replaces the rules that route plain statements; without rules, plain statements are refused.
-    pub fn route_by(&mut self, rules: Option<Rules>) {
+    pub fn set_rules(&mut self, rules: Option<Rules>) {
         use std::hash::BuildHasher;
         let secret = || RandomState::new().hash_one(0_u8);
         self.router = rules.map(|rules| Router::new(rules, Key(secret(), secret())));
@@ -131,10 +131,10 @@
 
     /// Sets the maximum number of clients, and the number of buffered bytes in the process from which on no
     /// client may buffer a large request.
-    pub fn limit(&mut self, turn: &mut Turn, most: usize, most_memory: usize) {
-        (self.most, self.most_memory) = (most, most_memory);
+    pub fn set_limits(&mut self, turn: &mut Turn, max_clients: usize, max_buffered: usize) {
+        (self.max_clients, self.max_buffered) = (max_clients, max_buffered);
         // During an upgrade the limit shrinks because another process takes the rest of it.
-        while self.sessions.len() > most && self.evict_one(turn) {}
+        while self.sessions.len() > max_clients && self.evict_one(turn) {}
     }
 
     /// Bounds the deadline of every request by `at`. After SIGTERM the platform kills the process when its
@@ -144,8 +144,8 @@
     }
 
     /// Whether clients are accepted, or may be accepted again later.
-    pub fn serves(&self) -> bool {
-        self.service != Service::Closing || self.listener.is_some() || self.peer_listener.is_some()
+    pub fn may_accept_clients(&self) -> bool {
+        self.service != ServiceState::Closing || self.listener.is_some() || self.peer_listener.is_some()
     }
 
     /// Whether any client or other proxy is connected.
--- a/crates/gradeshunt/src/frontend/answers.rs
+++ b/crates/gradeshunt/src/frontend/answers.rs
@@ -13,7 +13,13 @@
 
 impl Frontend {
     /// Passes one part of a long answer on to the client.
-    pub fn part(&mut self, turn: &mut Turn, exchange: &mut Exchange, request: RequestId, bytes: &[u8]) {
+    pub fn forward_part(
+        &mut self,
+        turn: &mut Turn,
+        exchange: &mut Exchange,
+        request: RequestId,
+        bytes: &[u8],
+    ) {
         let Some(id) = self.owners.get(&request).map(|o| o.session) else { return };
         let Some(s) = self.sessions.get_mut(&id) else { return };
         if !s.outbound.push(bytes) {
@@ -66,7 +72,7 @@
         let fits = s.outbound.push(&w.ready().0);
         if !fits {
             // The client has not read its earlier answers, and no complete message fits behind them. The
-            // assertion at `UNREAD_LIMIT` rules this out.
+            // assertion at `MAX_UNREAD_BYTES` rules this out.
             exchange.violated(turn, Rule::ClosedUnanswered, None);
             return self.close(turn, id);
         }
@@ -79,7 +85,7 @@
     /// Forgets a finished request and frees its id; returns the session that waited for it.
     pub(super) fn release_request(&mut self, request: RequestId) -> Option<SessionId> {
         let owner = self.owners.remove(&request)?;
-        self.ids.remove(&owner.id);
+        self.open_ids.remove(&owner.id);
         Some(owner.session)
     }
 }
--- a/crates/gradeshunt/src/frontend/eviction.rs
+++ b/crates/gradeshunt/src/frontend/eviction.rs
@@ -6,9 +6,9 @@
 use slog::info;
 
 use super::closing::CloseReason;
-use super::peers::leaving;
+use super::peers::stopping_error;
 use super::session::{Session, Stage};
-use super::{Frontend, Service};
+use super::{Frontend, ServiceState};
 use crate::deadlines::Due;
 use crate::exchange::Exchange;
 use crate::ids::SessionId;
@@ -16,16 +16,16 @@
 use crate::turn::Turn;
 
 /// How long a client may take to send its first request before it is among the first to be evicted.
-pub(super) const SLOW_CLIENT: Micros = 2_100_000;
+pub(super) const FIRST_REQUEST_LIMIT: Micros = 2_100_000;
 /// A client that connected or received its answer less than this long ago is evicted last.
-pub(super) const RECENT: Micros = 50_000;
+pub(super) const RECENT_ACTIVITY: Micros = 50_000;
 /// A client whose session has started but that has sent no request is evicted last until it has been
 /// connected this long.
-const NEW_CLIENT: Micros = 500_000;
+const NEW_SESSION_PERIOD: Micros = 500_000;
 /// A client that has been idle this long is closed while more than an eighth of the maximum are open.
 const IDLE_LIMIT: Micros = 2_000_000;
 /// Interval between scans for idle clients.
-const REAP_INTERVAL: Micros = 50_000;
+const IDLE_SCAN_INTERVAL: Micros = 50_000;
 /// How long a client may be idle while more than two fifths of the maximum are open.
 const CROWDED_IDLE_LIMIT: Micros = 100_000;
 /// How long a draining proxy waits for the first request of a new client.
@@ -35,14 +35,14 @@
     /// Enters or leaves standby; in standby, clients are closed between requests.
     pub fn set_standby(&mut self, turn: &mut Turn, exchange: &mut Exchange, standby: bool) {
         match self.service {
-            Service::Closing => {}
-            _ if standby => self.drain(turn, exchange, Service::Standby),
-            _ => self.service = Service::Running,
+            ServiceState::Closing => {}
+            _ if standby => self.start_draining(turn, exchange, ServiceState::Standby),
+            _ => self.service = ServiceState::Running,
         }
     }
 
     /// Enters a draining state and closes every client that is between requests.
-    pub(super) fn drain(&mut self, turn: &mut Turn, exchange: &mut Exchange, service: Service) {
+    pub(super) fn start_draining(&mut self, turn: &mut Turn, exchange: &mut Exchange, service: ServiceState) {
         self.service = service;
         for id in self.sessions.keys().copied().collect::<Vec<_>>() {
             self.ready(turn, exchange, id);
@@ -53,21 +53,21 @@
     /// has sent no request yet is given [`FIRST_REQUEST_GRACE`], because its request is usually in transit.
     pub(super) fn close_if_draining(&mut self, turn: &mut Turn, id: SessionId) {
         let Some(s) = self.sessions.get(&id) else { return };
-        if self.service == Service::Running || s.is_closing() {
+        if self.service == ServiceState::Running || s.is_closing() {
             return;
         }
-        let fresh = turn.now - s.last_active <= FIRST_REQUEST_GRACE
+        let within_grace = turn.now - s.last_active <= FIRST_REQUEST_GRACE
             && self.drain_deadline.is_none_or(|at| turn.now < at);
         // No grace for other proxies: they resend a request that crosses the close to another proxy.
-        if may_close(&s.close_facts(fresh && !s.is_peer())).is_ok() {
-            let last = if s.is_peer() { leaving() } else { Writer::default() };
+        if may_close(&s.close_facts(within_grace && !s.is_peer())).is_ok() {
+            let last = if s.is_peer() { stopping_error() } else { Writer::default() };
             self.close_with(turn, id, last, CloseReason::Draining);
         }
     }
 
     /// Logs how many clients were closed to make room since the last summary, by kind.
     pub fn log_summary(&mut self, turn: &Turn) {
-        let [closing, mute, idle, slow, fresh, between] = std::mem::take(&mut self.evicted);
+        let [closing, mute, idle, slow, fresh, between] = std::mem::take(&mut self.evictions_by_rank);
         info!(turn.log, "clients"; "open" => self.sessions.len(), "closing" => closing, "mute" => mute,
             "idle" => idle, "slow" => slow, "between" => between, "new" => fresh);
     }
@@ -75,9 +75,9 @@
     /// Closes clients that stay connected without sending requests, or that connect and send nothing.
     /// Together they could use up all connections, and no other client's request would get through. While few
     /// clients are open, none is closed, so that a person at a prompt keeps the connection.
-    pub fn reap(&mut self, turn: &mut Turn) {
-        turn.deadlines.set(turn.now + REAP_INTERVAL, Due::Reap);
-        if self.service != Service::Running {
+    pub fn close_idle_clients(&mut self, turn: &mut Turn) {
+        turn.deadlines.set(turn.now + IDLE_SCAN_INTERVAL, Due::Reap);
+        if self.service != ServiceState::Running {
             return self
                 .sessions
                 .keys()
@@ -87,17 +87,17 @@
                 .for_each(|id| self.close_if_draining(turn, id));
         }
         let open = self.sessions.values().filter(|s| !s.is_closing()).count();
-        if open <= self.most / 8 {
+        if open <= self.max_clients / 8 {
             return;
         }
         // Closes only as many as are open beyond two fifths of the maximum, the longest idle first, because
         // the client may send a request at the same moment.
-        let excess = open.saturating_sub(self.most * 2 / 5);
+        let excess = open.saturating_sub(self.max_clients * 2 / 5);
         // The fuller the proxy, the sooner idle clients are closed.
-        let idle_limit = if open > self.most * 3 / 5 { RECENT } else { CROWDED_IDLE_LIMIT };
+        let idle_limit = if open > self.max_clients * 3 / 5 { RECENT_ACTIVITY } else { CROWDED_IDLE_LIMIT };
         let idle = self.sessions.iter().filter_map(|(id, s)| {
             let limit = match s.stage {
-                Stage::Startup => SLOW_CLIENT,
+                Stage::Startup => FIRST_REQUEST_LIMIT,
                 Stage::Ready if s.has_sent_query && !s.is_peer() => idle_limit,
                 Stage::Ready | Stage::Waiting(_) | Stage::Closing | Stage::Lingering => return None,
             };
@@ -109,7 +109,7 @@
         let over = |n: usize, since: Micros| n < excess || turn.now - since > IDLE_LIMIT;
         let idle = idle.into_iter().enumerate().filter(|(n, (since, _))| over(*n, *since));
         for (_, (_, id)) in idle.collect::<Vec<_>>() {
-            self.evicted[2] += 1;
+            self.evictions_by_rank[2] += 1;
             // A request may be in transit. An immediate close would reset the connection and could lose the
             // last answer.
             self.close_with(turn, id, Writer::default(), CloseReason::Idle);
@@ -131,7 +131,7 @@
         let mut idle: Vec<_> = idle.collect();
         idle.sort();
         // A request that is unread in the socket counts as accepted. An incomplete first message does not.
-        let may_go = |id: &SessionId| {
+        let is_closable = |id: &SessionId| {
             let facts = self.sessions.get(id).map(|s| ClientFacts {
                 message_begun: s.has_sent_query && !s.inbound.is_empty(),
                 answer_unwritten: s.has_sent_query && !s.outbound.is_empty(),
@@ -139,9 +139,9 @@
             });
             facts.is_some_and(|facts| may_close(&facts).is_ok())
         };
-        let oldest = idle.into_iter().find(|(_, _, id)| may_go(id));
+        let oldest = idle.into_iter().find(|(_, _, id)| is_closable(id));
         if let Some((rank, _, id)) = oldest {
-            self.evicted[rank] += 1;
+            self.evictions_by_rank[rank] += 1;
             self.record_close(turn, id, CloseReason::MakeRoom);
             self.close(turn, id);
         }
@@ -151,7 +151,7 @@
 
 /// Returns the order in which clients are closed to make room, 0 first, or `None` if the client must not be
 /// closed. First are closing clients that have their last answer, then clients that took longer than
-/// [`SLOW_CLIENT`] over their first request. Next are clients that have had an answer, for whom a close costs
+/// [`FIRST_REQUEST_LIMIT`] over their first request. Next are clients that have had an answer, for whom a close costs
 /// no more than a new connection. Then come clients that have been sending a first request for long, because
 /// most clients that never complete one are among them; the newest clients come last.
 pub(super) fn eviction_rank(stage: &Stage, asked: bool, empty: bool, age: Micros) -> Option<usize> {
@@ -162,14 +162,14 @@
             // it.
             let started = matches!(stage, Stage::Ready);
             Some(match age {
-                SLOW_CLIENT.. => 1,
-                NEW_CLIENT.. => 3,
-                RECENT.. if !started => 3,
+                FIRST_REQUEST_LIMIT.. => 1,
+                NEW_SESSION_PERIOD.. => 3,
+                RECENT_ACTIVITY.. if !started => 3,
                 _ if !started => 4,
                 _ => 5,
             })
         }
-        Stage::Ready if empty => Some(if age >= RECENT { 2 } else { 5 }),
+        Stage::Ready if empty => Some(if age >= RECENT_ACTIVITY { 2 } else { 5 }),
         Stage::Startup | Stage::Ready | Stage::Waiting(_) | Stage::Closing => None,
     }
 }
--- a/crates/gradeshunt/src/frontend/listener.rs
+++ b/crates/gradeshunt/src/frontend/listener.rs
@@ -9,7 +9,7 @@
 
 use super::closing::CloseReason;
 use super::session::{Session, Stage, MESSAGE_TIMEOUT};
-use super::{Frontend, Service};
+use super::{Frontend, ServiceState};
 use crate::accept_failure::AcceptFailure;
 use crate::deadlines::Due;
 use crate::exchange::Exchange;
@@ -117,9 +117,9 @@
     ) -> io::Result<()> {
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
-        let id = SessionId(self.next);
-        self.next += 1;
-        let full = self.sessions.len() >= self.most && !self.evict_one(turn);
+        let id = SessionId(self.next_session);
+        self.next_session += 1;
+        let full = self.sessions.len() >= self.max_clients && !self.evict_one(turn);
         let polled = Polled::new(turn, socket, Polling::Session(id))?;
         let session = Session {
             polled,
@@ -173,6 +173,6 @@
         if let Some(listener) = self.peer_listener.take() {
             listener.close(turn);
         }
-        self.drain(turn, exchange, Service::Closing);
+        self.start_draining(turn, exchange, ServiceState::Closing);
     }
 }
--- a/crates/gradeshunt/src/frontend/messages.rs
+++ b/crates/gradeshunt/src/frontend/messages.rs
@@ -7,8 +7,8 @@
 
 use super::closing::CloseReason;
 use super::session::{Stage, MESSAGE_TIMEOUT};
-use super::statements::Step;
-use super::{Frontend, Owner, UNREAD_LIMIT};
+use super::statements::QueryOutcome;
+use super::{Frontend, RequestOwner, MAX_UNREAD_BYTES};
 use crate::exchange::Exchange;
 use crate::ids::SessionId;
 use crate::pg::{self, sqlstate, Malformed, Startup, Writer};
@@ -26,13 +26,13 @@
 impl Frontend {
     /// Processes buffered messages until a request is in progress or too many answers are unread, then
     /// writes.
-    pub(super) fn work(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: SessionId) {
+    pub(super) fn process_messages(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: SessionId) {
         for n in 0..=MESSAGES_PER_TURN {
             let Some(s) = self.sessions.get_mut(&id) else { return };
             if s.disconnected {
                 return self.abandon_session(turn, exchange, id);
             }
-            if s.outbound.len() > UNREAD_LIMIT {
+            if s.outbound.len() > MAX_UNREAD_BYTES {
                 break;
             }
             if n == MESSAGES_PER_TURN {
@@ -40,8 +40,8 @@
                 break;
             }
             let step = match s.stage {
-                Stage::Startup => self.startup(turn, exchange, id),
-                Stage::Ready => self.message(turn, exchange, id),
+                Stage::Startup => self.process_startup(turn, exchange, id),
+                Stage::Ready => self.process_message(turn, exchange, id),
                 Stage::Waiting(_) | Stage::Closing | Stage::Lingering => break,
             };
             match step {
@@ -56,17 +56,17 @@
         }
         self.flush(turn, id);
         self.report_unread(exchange, id, 0);
-        self.await_rest(turn, id);
+        self.set_message_deadline(turn, id);
         self.close_if_draining(turn, id);
     }
 
     /// Sets the deadline for the rest of an incomplete message. Each message has one deadline, which further
     /// bytes do not extend.
-    fn await_rest(&mut self, turn: &mut Turn, id: SessionId) {
+    fn set_message_deadline(&mut self, turn: &mut Turn, id: SessionId) {
         let Some(s) = self.sessions.get(&id) else { return };
         let part = match s.stage {
             Stage::Startup | Stage::Closing | Stage::Lingering => return,
-            Stage::Ready => s.inbound.first_arrived().filter(|_| s.outbound.len() <= UNREAD_LIMIT),
+            Stage::Ready => s.inbound.first_arrived().filter(|_| s.outbound.len() <= MAX_UNREAD_BYTES),
             Stage::Waiting(_) => None,
         };
         // The time counts from the message's first byte, however long the message waited behind a request in
@@ -75,7 +75,7 @@
     }
 
     /// Processes the startup packet, if it is complete. Returns whether to continue with the next message.
-    fn startup(
+    fn process_startup(
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
@@ -114,8 +114,9 @@
                 let Some(s) = self.sessions.get_mut(&id) else { return Ok(false) };
                 let w = if minor > 0 || !options.is_empty() { w.negotiate_version(&options) } else { w };
                 s.stage = Stage::Ready;
-                let fits =
-                    s.outbound.push(&w.startup_reply(process_of(id), self.secrets.hash_one(id) as u32).0);
+                let fits = s
+                    .outbound
+                    .push(&w.startup_reply(process_of(id), self.secret_hasher.hash_one(id) as u32).0);
                 self.set_due(turn, id, None);
                 Ok(fits)
             }
@@ -125,16 +126,16 @@
     /// Cancels the request in progress of the session that was given this process ID and secret key, if there
     /// is one.
     fn cancel(&mut self, turn: &mut Turn, exchange: &mut Exchange, process: u32, secret: u32) {
-        let is_it =
-            |id: &SessionId| process_of(*id) == process && self.secrets.hash_one(*id) as u32 == secret;
-        let session = self.sessions.iter().find(|(id, _)| is_it(id)).map(|(_, s)| &s.stage);
+        let has_key =
+            |id: &SessionId| process_of(*id) == process && self.secret_hasher.hash_one(*id) as u32 == secret;
+        let session = self.sessions.iter().find(|(id, _)| has_key(id)).map(|(_, s)| &s.stage);
         if let Some(Stage::Waiting(request)) = session {
             exchange.cancel(turn, *request);
         }
     }
 
     /// Processes the next message, if it is complete. Returns whether to continue with the one after it.
-    fn message(
+    fn process_message(
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
@@ -166,13 +167,13 @@
                 w.ready()
             }
             _ if skipping => return Ok(true),
-            b'Q' => match self.query(turn, id, text, arrived) {
-                Ok(Step::Reply(w)) => w,
-                Ok(Step::Call(call, name)) => {
+            b'Q' => match self.process_query(turn, id, text, arrived) {
+                Ok(QueryOutcome::Reply(w)) => w,
+                Ok(QueryOutcome::Request(call, name)) => {
                     let request = exchange.submit(turn, *call);
                     debug!(turn.log, "request taken"; "session" => id.0, "id" => &*name, "request" => request.0);
-                    self.ids.insert(Rc::clone(&name));
-                    self.owners.insert(request, Owner { session: id, id: name });
+                    self.open_ids.insert(Rc::clone(&name));
+                    self.owners.insert(request, RequestOwner { session: id, id: name });
                     if let Some(s) = self.sessions.get_mut(&id) {
                         s.stage = Stage::Waiting(request);
                     }
--- a/crates/gradeshunt/src/frontend/peers.rs
+++ b/crates/gradeshunt/src/frontend/peers.rs
@@ -5,14 +5,14 @@
 use slog::warn;
 
 use super::closing::CloseReason;
-use super::{Frontend, Service};
+use super::{Frontend, ServiceState};
 use crate::ids::SessionId;
 use crate::pg::{sqlstate, Writer};
 use crate::placing::PEER_USER;
 use crate::turn::Turn;
 
 /// The last message on an idle connection of another proxy; nothing that arrives after it is read.
-pub(super) fn leaving() -> Writer {
+pub(super) fn stopping_error() -> Writer {
     Writer::default().error("FATAL", sqlstate::PROXY_LEAVING, "the proxy takes no more requests here", None)
 }
 
@@ -31,7 +31,7 @@
         let (code, what) = if !known {
             warn!(turn.log, "refused a connection at the address for other proxies: not one of them"; "name" => name);
             (sqlstate::INVALID_AUTHORIZATION, "this address is for the proxies of this group")
-        } else if self.service != Service::Running {
+        } else if self.service != ServiceState::Running {
             (sqlstate::CANNOT_CONNECT_NOW, "the proxy takes no more requests here")
         } else {
             return true;
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -129,7 +129,7 @@
                 Ok(Transfer::Bytes(_)) => {
                     // Refusing one large request is better than having the process killed for its memory use.
                     let waiting = matches!(s.stage, Stage::Waiting(_));
-                    if s.inbound.len() > INITIAL_RING_SIZE && !waiting && memory::held() > self.most_memory {
+                    if s.inbound.len() > INITIAL_RING_SIZE && !waiting && memory::held() > self.max_buffered {
                         warn!(turn.log, "too much in buffers, turning a client away"; "bytes" => memory::held());
                         let w = Writer::default();
                         let error = w.error("FATAL", sqlstate::TOO_MANY_CONNECTIONS, "out of memory", None);
@@ -152,7 +152,7 @@
                 }
             }
         }
-        self.work(turn, exchange, id);
+        self.process_messages(turn, exchange, id);
         // While the ring was full the socket was not read until it would block, and the edge-triggered poll
         // reports readiness only once.
         if full && self.sessions.get(&id).is_some_and(|s| !s.inbound.is_full()) {
--- a/crates/gradeshunt/src/frontend/statements.rs
+++ b/crates/gradeshunt/src/frontend/statements.rs
@@ -7,7 +7,7 @@
 use leadmast::{Effect, GroupId, Micros, ReadLevel};
 use slog::debug;
 
-use super::{Frontend, Service};
+use super::{Frontend, ServiceState};
 use crate::exchange::{Body, Call, Form};
 use crate::ids::SessionId;
 use crate::pg::{self, sqlstate, Writer};
@@ -15,48 +15,48 @@
 use crate::turn::Turn;
 
 /// How a query is handled.
-pub(super) enum Step {
+pub(super) enum QueryOutcome {
     /// The proxy answers the query itself.
     Reply(Writer),
     /// The query becomes a request with this id.
-    Call(Box<Call>, Rc<str>),
+    Request(Box<Call>, Rc<str>),
 }
 
 impl Frontend {
     /// Processes a statement whose last byte arrived at `arrived`.
-    pub(super) fn query(
+    pub(super) fn process_query(
         &mut self,
         turn: &Turn,
         session: SessionId,
         text: Vec<u8>,
         arrived: Micros,
-    ) -> Result<Step, String> {
+    ) -> Result<QueryOutcome, String> {
         let w = Writer::default();
         let statement = std::str::from_utf8(&text).map_err(|_| "the statement is not UTF-8")?;
-        let words = statement.trim().trim_end_matches(';').trim();
-        let unable = match self.service {
+        let trimmed = statement.trim().trim_end_matches(';').trim();
+        let unavailable = match self.service {
             _ if !self.has_hosts => Some("no db host is known yet"),
-            Service::Running | Service::Closing => None,
-            Service::Standby => Some("the proxy is in standby"),
+            ServiceState::Running | ServiceState::Closing => None,
+            ServiceState::Standby => Some("the proxy is in standby"),
         };
-        if let (true, Some(why)) = (words.is_empty(), unable) {
+        if let (true, Some(why)) = (trimmed.is_empty(), unavailable) {
             let error = w.error("ERROR", sqlstate::CANNOT_CONNECT_NOW, why, None);
-            return Ok(Step::Reply(error.ready()));
+            return Ok(QueryOutcome::Reply(error.ready()));
         }
-        if words.is_empty() {
-            return Ok(Step::Reply(w.message(b'I', &[]).ready()));
+        if trimmed.is_empty() {
+            return Ok(QueryOutcome::Reply(w.message(b'I', &[]).ready()));
         }
-        let verb = words.split_whitespace().next().unwrap_or("").to_ascii_uppercase();
+        let verb = trimmed.split_whitespace().next().unwrap_or("").to_ascii_uppercase();
         // The proxy keeps no session state, so there is nothing to set and nothing to discard.
         if matches!(verb.as_str(), "SET" | "RESET" | "DISCARD") {
-            return Ok(Step::Reply(w.message(b'C', &[verb.as_bytes(), b"\0"]).ready()));
+            return Ok(QueryOutcome::Reply(w.message(b'C', &[verb.as_bytes(), b"\0"]).ready()));
         }
         let source = self.sessions.get(&session).map_or(Source::Client, |s| s.source);
         let c = match pg::parse_routing_comment(statement) {
             // Other proxies forward only statements with a routing comment, since a plain statement depends
             // on its session, which the forwarding proxy holds.
             Err(_) if self.router.is_some() && source == Source::Client => {
-                return self.plain(turn, session, text, arrived)
+                return self.route_plain(turn, session, text, arrived)
             }
             c => c?,
         };
@@ -66,13 +66,13 @@
             if let Some(decision) = router.contradicts(&self.settings, &s.origin, statement, class) {
                 match route_or_reply(decision) {
                     Ok(r) => (class, group) = (r.class, r.group),
-                    Err(reply) => return Ok(Step::Reply(reply)),
+                    Err(reply) => return Ok(QueryOutcome::Reply(reply)),
                 }
             }
         }
         let (read, effect) = (self.settings.classes[class.0].read, self.settings.classes[class.0].effect);
         // Another client waits for the answer of this id and must not be mixed up with this one.
-        if self.ids.contains(c.id) {
+        if self.open_ids.contains(c.id) {
             return Err("the id is that of an open request".to_owned());
         }
         if matches!(effect, Effect::Keyed { .. }) && !c.has_key {
@@ -93,25 +93,25 @@
         let body = Body::new(text, Some(wait_at), Form::Value);
         let checked = true;
         let call = Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body };
-        Ok(Step::Call(Box::new(call), id))
+        Ok(QueryOutcome::Request(Box::new(call), id))
     }
 
     /// Routes a statement without a routing comment by the operators' rules. The connection is the session:
     /// its reads see its own writes.
-    fn plain(
+    fn route_plain(
         &mut self,
         turn: &Turn,
         session: SessionId,
         text: Vec<u8>,
         arrived: Micros,
-    ) -> Result<Step, String> {
+    ) -> Result<QueryOutcome, String> {
         let statement = std::str::from_utf8(&text).map_err(|_| "the statement is not UTF-8")?;
         let (Some(router), Some(s)) = (&mut self.router, self.sessions.get_mut(&session)) else {
             return Err("the statement has no routing comment".to_owned());
         };
         let routed = match route_or_reply(router.decide(&self.settings, &s.origin, statement)) {
             Ok(routed) => routed,
-            Err(reply) => return Ok(Step::Reply(reply)),
+            Err(reply) => return Ok(QueryOutcome::Reply(reply)),
         };
         let Routed { class, group, wait, comment, writes } = routed;
         self.plain += 1;
@@ -132,7 +132,7 @@
         let (tenant, source) = (None, Source::Client);
         let (repeat, checked) = (false, false);
         let call = Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body };
-        Ok(Step::Call(Box::new(call), id))
+        Ok(QueryOutcome::Request(Box::new(call), id))
     }
 
     /// Returns the deadline of a request whose last byte arrived at `arrived`. The wait counts from that
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -6,7 +6,7 @@
 use leadmast::{GroupId, Micros, RequestId};
 
 use super::closing::CloseReason;
-use super::eviction::{eviction_rank, RECENT, SLOW_CLIENT};
+use super::eviction::{eviction_rank, FIRST_REQUEST_LIMIT, RECENT_ACTIVITY};
 use super::session::{Stage, CLOSE_STALL_TIMEOUT, LINGER};
 use super::Frontend;
 use crate::exchange::{Body, Call, Exchange, Final, Form};
@@ -19,24 +19,28 @@
 /// clients that already had an answer are evicted first.
 #[test]
 fn idle_clients_make_room_before_slow_ones() {
-    let slow = eviction_rank(&Stage::Startup, false, false, SLOW_CLIENT - 1);
-    let half = eviction_rank(&Stage::Ready, false, false, SLOW_CLIENT - 1);
-    let served = eviction_rank(&Stage::Ready, true, true, RECENT);
-    let stuck = eviction_rank(&Stage::Startup, false, false, SLOW_CLIENT);
+    let slow = eviction_rank(&Stage::Startup, false, false, FIRST_REQUEST_LIMIT - 1);
+    let half = eviction_rank(&Stage::Ready, false, false, FIRST_REQUEST_LIMIT - 1);
+    let served = eviction_rank(&Stage::Ready, true, true, RECENT_ACTIVITY);
+    let stuck = eviction_rank(&Stage::Startup, false, false, FIRST_REQUEST_LIMIT);
     assert!(stuck < served && served < slow && slow == half && slow.is_some());
     let new = eviction_rank(&Stage::Startup, false, true, 0);
     assert!(
         slow < new && new < eviction_rank(&Stage::Ready, false, true, 0),
         "a client that connected just now may still send a request"
     );
-    assert_eq!(eviction_rank(&Stage::Ready, true, false, SLOW_CLIENT), None, "its request may be unread");
-    assert_eq!(eviction_rank(&Stage::Waiting(RequestId(0)), true, true, SLOW_CLIENT), None);
+    assert_eq!(
+        eviction_rank(&Stage::Ready, true, false, FIRST_REQUEST_LIMIT),
+        None,
+        "its request may be unread"
+    );
+    assert_eq!(eviction_rank(&Stage::Waiting(RequestId(0)), true, true, FIRST_REQUEST_LIMIT), None);
 }
 
 /// A closing client is not evicted while its last answer is unwritten, so that the answer is not lost.
 #[test]
 fn closing_client_makes_room_once_it_has_its_last_answer() {
-    assert_eq!(eviction_rank(&Stage::Closing, true, false, SLOW_CLIENT), None);
+    assert_eq!(eviction_rank(&Stage::Closing, true, false, FIRST_REQUEST_LIMIT), None);
     assert_eq!(eviction_rank(&Stage::Lingering, true, true, 0), Some(0));
 }
 
@@ -49,7 +53,7 @@
     let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
     let facts = leadmast::settings::read(&config["settings"]).expect("settings");
     let mut frontend = Frontend::new(facts.settings, facts.names);
-    frontend.limit(&mut turn, 10, 1 << 20);
+    frontend.set_limits(&mut turn, 10, 1 << 20);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let client = TcpStream::connect(listener.local_addr().expect("an address"))
         .expect("the listener accepts connections");
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -116,7 +116,7 @@
                 .map_err(|e| format!("cannot listen at {listen}: {e}"))?,
         };
         let mut frontend = Frontend::new(facts.settings, facts.names);
-        frontend.route_by(rules);
+        frontend.set_rules(rules);
         let listen = |addr| {
             retry_while_transient(|| Control::listen(&core.turn, addr, OPERATORS))
                 .map_err(|e| format!("cannot listen at {addr}: {e}"))
@@ -198,7 +198,7 @@
             Step::List(list) => self.list(&list),
             Step::Order(order) => self.backend.carry_out(turn, exchange, order),
             Step::Answer(request, exchange::Answer::Part(bytes)) => {
-                self.frontend.part(turn, exchange, request, &bytes)
+                self.frontend.forward_part(turn, exchange, request, &bytes)
             }
             Step::Answer(request, exchange::Answer::Final(last)) => {
                 self.frontend.answer(turn, exchange, request, last)
@@ -229,7 +229,7 @@
     pub fn is_done(&self) -> bool {
         let process = ProcessFacts {
             must_leave: self.leave,
-            serving: self.frontend.serves(),
+            serving: self.frontend.may_accept_clients(),
             clients_open: self.frontend.has_clients(),
             requests_open: !self.core.exchange.is_idle(),
         };
@@ -283,7 +283,7 @@
                 stands.into_iter().for_each(|c| self.change(c));
             }
             Due::Begin => self.begin(),
-            Due::Reap => self.frontend.reap(turn),
+            Due::Reap => self.frontend.close_idle_clients(turn),
             Due::CloseListener => self.frontend.close_listener(turn, exchange, false),
             Due::Serve if self.frontend.has_hosts => self.serve(),
             Due::Serve => turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, Due::Serve),
--- a/crates/gradeshunt/src/proxy/changes.rs
+++ b/crates/gradeshunt/src/proxy/changes.rs
@@ -57,7 +57,7 @@
         match config {
             Ok(config) => {
                 info!(self.core.turn.log, "configuration reread"; "discovery" => config.discovery.to_string());
-                self.frontend.route_by(config.rules);
+                self.frontend.set_rules(config.rules);
                 self.replace_sites(config.sites);
                 self.replace_placement(config.placement);
                 self.core.move_discovery(config.discovery, config.silence);
--- a/crates/gradeshunt/src/proxy/lifetime.rs
+++ b/crates/gradeshunt/src/proxy/lifetime.rs
@@ -57,7 +57,7 @@
         let servers = sockets / 3;
         self.backend.limit(&mut self.core.turn, servers);
         // Rings may still grow when a third of the memory is held: by what is under way.
-        self.frontend.limit(&mut self.core.turn, sockets - servers, self.memory / processes / 3);
+        self.frontend.set_limits(&mut self.core.turn, sockets - servers, self.memory / processes / 3);
     }
 
     /// Serves clients from now on.
