--- a/crates/gradeshunt/src/cli.rs
+++ b/crates/gradeshunt/src/cli.rs
@@ -112,14 +112,15 @@
     null: bool,
     sql: Vec<String>,
 ) -> Result<(), String> {
-    let (declared, routes) = rules.map_or_else(|| Ok(Default::default()), |file| rules::outline(&file))?;
+    let (declared, routes) =
+        rules.map_or_else(|| Ok(Default::default()), |file| rules::read_outline(&file))?;
     // The same shape has the same number in every call: it is no secret here.
     let mut classer = Classer::new(Key(0, 0), Catalogue::new(&declared), SHAPES);
     let mut out = BufWriter::new(io::stdout().lock());
     let mut tell = |statement: &str| {
         let told = classer.class(statement);
         let sent = matches!(told.verdict.access, Access::Read | Access::Write | Access::Unknown);
-        let route = routes.iter().find(|(m, _)| sent && m.holds(&Origin::default(), &told.verdict));
+        let route = routes.iter().find(|(m, _)| sent && m.accepts(&Origin::default(), &told.verdict));
         let line = show(&told, route.map(|(_, class)| class.as_str()), format);
         writeln!(out, "{line}")
     };
--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -17,8 +17,8 @@
 use crate::turn::{self, Polled, Source, Turn};
 
 /// Maximum size in bytes of a call's head, and maximum number of its headers.
-const LONGEST_CALL: usize = 8 * 1024;
-const HEADERS: usize = 64;
+const MAX_CALL_SIZE: usize = 8 * 1024;
+const MAX_HEADERS: usize = 64;
 /// How long a call may take to arrive and to be carried out, and how long a connection stays open after the
 /// response.
 const CALL_TIMEOUT: Micros = 3_000_000;
@@ -32,7 +32,7 @@
     /// Report the proxy's state.
     Status,
     /// Report the metrics.
-    Figures,
+    Metrics,
     /// Report the timing of the event loop.
     Loop,
     /// Report the counters of plain statements.
@@ -46,7 +46,7 @@
     /// Send no new requests to the db hosts of this site until the site is readmitted.
     HoldSite(String),
     /// Readmit the site of this name.
-    LetSiteBack(String),
+    ReadmitSite(String),
     /// Report the group of this proxy and the state of its peers.
     Placement,
     /// Close clients between requests.
@@ -57,16 +57,16 @@
 
 /// The response to a call.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     status: u16,
     /// The method that the path supports, if the call used another one.
     allow: Option<&'static str>,
     body: String,
 }
 
-impl Answer {
+impl Response {
     pub fn new(status: u16, body: impl Into<String>) -> Self {
-        Answer { status, allow: None, body: body.into() }
+        Response { status, allow: None, body: body.into() }
     }
 
     fn bytes(&self) -> Vec<u8> {
@@ -92,9 +92,9 @@
 /// The state of an operator's connection.
 enum Stage {
     /// The call is incomplete.
-    Asking,
+    Receiving,
     /// The call is being carried out.
-    Owed,
+    Executing,
     /// The response is written or buffered; further input is discarded until the caller closes.
     Answered,
 }
@@ -111,16 +111,16 @@
 /// The listener for operators and their connections.
 pub struct Control {
     listener: Polled<TcpListener>,
-    most: usize,
+    max_callers: usize,
     callers: BTreeMap<CallerId, Caller>,
-    next: u64,
+    next_caller: u64,
 }
 
 impl Control {
-    /// Listens at `addr` and keeps at most `most` connections open.
-    pub fn listen(turn: &Turn, addr: SocketAddr, most: usize) -> io::Result<Self> {
+    /// Listens at `addr` and keeps at most `max_callers` connections open.
+    pub fn listen(turn: &Turn, addr: SocketAddr, max_callers: usize) -> io::Result<Self> {
         let listener = Polled::new(turn, turn::listener(addr)?, Source::Control)?;
-        Ok(Control { listener, most, callers: BTreeMap::new(), next: 0 })
+        Ok(Control { listener, max_callers, callers: BTreeMap::new(), next_caller: 0 })
     }
 
     pub fn local_addr(&self) -> Option<SocketAddr> {
@@ -130,7 +130,7 @@
     pub fn accept(&mut self, turn: &mut Turn) {
         // At most as many per turn as may be open at a time, so that accepted callers are served before more
         // come.
-        for _ in 0..self.most {
+        for _ in 0..self.max_callers {
             match self.listener.socket.accept() {
                 Ok((socket, _)) => {
                     if let Err(e) = self.accept_caller(turn, socket) {
@@ -152,15 +152,15 @@
     }
 
     fn accept_caller(&mut self, turn: &mut Turn, socket: TcpStream) -> io::Result<()> {
-        if self.callers.len() >= self.most {
+        if self.callers.len() >= self.max_callers {
             // Closes the oldest connection that is answered or has nothing unread; if there is none, the
             // oldest one.
-            let silent = |c: &Caller| match c.stage {
+            let may_make_room = |c: &Caller| match c.stage {
                 Stage::Answered => true,
-                Stage::Owed => false,
-                Stage::Asking => c.polled.is_quiet(),
+                Stage::Executing => false,
+                Stage::Receiving => c.polled.is_quiet(),
             };
-            let oldest = self.callers.iter().find(|(_, c)| silent(c)).map(|(id, _)| *id);
+            let oldest = self.callers.iter().find(|(_, c)| may_make_room(c)).map(|(id, _)| *id);
             match oldest.or(self.callers.keys().next().copied()) {
                 Some(id) => self.close(turn, id),
                 None => return Err(io::Error::other("no descriptors for operators")),
@@ -168,18 +168,18 @@
         }
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
-        let id = CallerId(self.next);
-        self.next += 1;
+        let id = CallerId(self.next_caller);
+        self.next_caller += 1;
         let polled = Polled::new(turn, socket, Source::Caller(id))?;
         let due = turn.now + CALL_TIMEOUT;
         turn.deadlines.set(due, Due::Caller(id));
         let (inbound, outbound) = (Ring::default(), Ring::default());
-        self.callers.insert(id, Caller { polled, inbound, outbound, stage: Stage::Asking, due });
+        self.callers.insert(id, Caller { polled, inbound, outbound, stage: Stage::Receiving, due });
         Ok(())
     }
 
     /// Reads and writes as far as possible. Returns a complete call once; the caller must follow it with
-    /// [`Control::answer`].
+    /// [`Control::respond`].
     pub fn ready(&mut self, turn: &mut Turn, id: CallerId) -> Option<Command> {
         loop {
             let c = self.callers.get_mut(&id)?;
@@ -192,17 +192,17 @@
                     return None;
                 }
                 (Ok(Transfer::Blocked), _) => return None,
-                (Ok(Transfer::Bytes(n)), Stage::Answered | Stage::Owed) => c.inbound.consume(n),
-                (Ok(Transfer::Bytes(_)), Stage::Asking) => match read(c.inbound.bytes()) {
+                (Ok(Transfer::Bytes(n)), Stage::Answered | Stage::Executing) => c.inbound.consume(n),
+                (Ok(Transfer::Bytes(_)), Stage::Receiving) => match parse_call(c.inbound.bytes()) {
                     Ok(None) => {}
                     Ok(Some(command)) => {
-                        (c.stage, c.inbound) = (Stage::Owed, Ring::default());
+                        (c.stage, c.inbound) = (Stage::Executing, Ring::default());
                         return Some(command);
                     }
-                    Err(answer) => self.answer(turn, id, &answer),
+                    Err(response) => self.respond(turn, id, &response),
                 },
                 // A caller that has shut down its sending side still waits for the response.
-                (Ok(Transfer::End), Stage::Owed) => return None,
+                (Ok(Transfer::End), Stage::Executing) => return None,
                 (Ok(Transfer::End) | Err(_), _) => {
                     self.close(turn, id);
                     return None;
@@ -212,10 +212,10 @@
     }
 
     /// Writes the response to a call.
-    pub fn answer(&mut self, turn: &mut Turn, id: CallerId, answer: &Answer) {
+    pub fn respond(&mut self, turn: &mut Turn, id: CallerId, response: &Response) {
         let Some(c) = self.callers.get_mut(&id) else { return };
         (c.stage, c.inbound) = (Stage::Answered, Ring::default());
-        let _ = c.outbound.push(&answer.bytes());
+        let _ = c.outbound.push(&response.bytes());
         turn.deadlines.clear(c.due, Due::Caller(id));
         c.due = turn.now + LINGER;
         turn.deadlines.set(c.due, Due::Caller(id));
@@ -226,10 +226,10 @@
     /// not close.
     pub fn due(&mut self, turn: &mut Turn, id: CallerId) {
         match self.callers.get(&id).map(|c| &c.stage) {
-            Some(Stage::Asking) => self.answer(turn, id, &Answer::new(408, "no whole call in time\n")),
-            Some(Stage::Owed) => {
+            Some(Stage::Receiving) => self.respond(turn, id, &Response::new(408, "no whole call in time\n")),
+            Some(Stage::Executing) => {
                 warn!(turn.log, "an operator's call was not carried out in time, but may still be");
-                self.answer(turn, id, &Answer::new(504, "not carried out in time, but may be yet\n"));
+                self.respond(turn, id, &Response::new(504, "not carried out in time, but may be yet\n"));
             }
             Some(Stage::Answered) => self.close(turn, id),
             None => {}
@@ -245,24 +245,24 @@
 }
 
 /// Parses a call; returns `None` until its head is complete. Bodies are ignored.
-fn read(bytes: &[u8]) -> Result<Option<Command>, Answer> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+fn parse_call(bytes: &[u8]) -> Result<Option<Command>, Response> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(bytes) {
         Ok(httparse::Status::Complete(_)) => {}
-        Ok(httparse::Status::Partial) if bytes.len() < LONGEST_CALL => return Ok(None),
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_CALL_SIZE => return Ok(None),
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-            return Err(Answer::new(431, "the call is too long\n"))
+            return Err(Response::new(431, "the call is too long\n"))
         }
-        Err(e) => return Err(Answer::new(400, format!("not HTTP/1.1: {e}\n"))),
+        Err(e) => return Err(Response::new(400, format!("not HTTP/1.1: {e}\n"))),
     }
     let (method, target) = (request.method.unwrap_or_default(), request.path.unwrap_or_default());
     let path = target.split('?').next().unwrap_or_default();
     let parts: Vec<_> = path.split('/').skip(1).collect();
-    let id = |id: &str| decode(id).ok_or_else(|| Answer::new(400, "the id can't be read\n"));
+    let id = |id: &str| decode_percent(id).ok_or_else(|| Response::new(400, "the id can't be read\n"));
     let (allow, command) = match parts[..] {
         ["status"] => ("GET", Command::Status),
-        ["status", "metrics"] => ("GET", Command::Figures),
+        ["status", "metrics"] => ("GET", Command::Metrics),
         ["shapes"] => ("GET", Command::Shapes),
         ["status", "loop"] => ("GET", Command::Loop),
         ["maintenance", "enter", name] => ("PUT", Command::HoldOut(id(name)?)),
@@ -270,19 +270,19 @@
         ["sites"] => ("GET", Command::Sites),
         ["placement"] => ("GET", Command::Placement),
         ["sites", "hold", name] => ("PUT", Command::HoldSite(id(name)?)),
-        ["sites", "back", name] => ("PUT", Command::LetSiteBack(id(name)?)),
+        ["sites", "back", name] => ("PUT", Command::ReadmitSite(id(name)?)),
         ["standby"] => ("PUT", Command::Standby),
         ["active"] => ("PUT", Command::Active),
-        _ => return Err(Answer::new(404, "no such call\n")),
+        _ => return Err(Response::new(404, "no such call\n")),
     };
     if method != allow {
-        return Err(Answer { status: 405, allow: Some(allow), body: format!("only {allow}\n") });
+        return Err(Response { status: 405, allow: Some(allow), body: format!("only {allow}\n") });
     }
     Ok(Some(command))
 }
 
 /// Decodes percent-encoding; returns `None` if the text is empty or malformed.
-fn decode(text: &str) -> Option<String> {
+fn decode_percent(text: &str) -> Option<String> {
     let mut pieces = text.split('%');
     let mut bytes = pieces.next()?.as_bytes().to_vec();
     for piece in pieces {
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -24,7 +24,7 @@
     pub(crate) discovery: Discovery,
     pub(crate) loop_stats: LoopStats,
     /// The list of db hosts from the configuration, until [`Core::start`].
-    known: Option<News>,
+    configured_list: Option<News>,
     /// Lists and changes from discovery that the decision module has not processed yet.
     news: Vec<News>,
 }
@@ -47,12 +47,12 @@
 
 impl List {
     /// Whether the list comes from discovery and not from the configuration.
-    pub fn is_heard(&self) -> bool {
+    pub fn is_from_discovery(&self) -> bool {
         matches!(self.kind, ListKind::Full | ListKind::Incremental)
     }
 
     /// Whether discovery sent the complete list and not only a change.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.kind == ListKind::Full
     }
 
@@ -77,8 +77,12 @@
         let facts = &config.facts;
         let pace = discovery::Pace::new(&facts.settings);
         let mut discovery = Discovery::new(config.discovery, config.silence, facts.names.clone(), pace);
-        let known = std::mem::take(&mut config.known);
-        let known = if known.is_null() { None } else { Some(discovery.known(&turn.clock, &known)?) };
+        let configured_list = std::mem::take(&mut config.known);
+        let configured_list = if configured_list.is_null() {
+            None
+        } else {
+            Some(discovery.known(&turn.clock, &configured_list)?)
+        };
         let tenants = config.tenants();
         let connect_timeout = facts.connections.connect_timeout;
         let placing = config.placement.take().map(|placement| Placing::new(placement, connect_timeout));
@@ -88,13 +92,13 @@
         exchange.sites = config.sites.take();
         exchange.placing = placing;
         let loop_stats = LoopStats::new(turn.now);
-        Ok(Core { turn, exchange, discovery, loop_stats, known, news: Vec::new() })
+        Ok(Core { turn, exchange, discovery, loop_stats, configured_list, news: Vec::new() })
     }
 
     /// Applies the list of db hosts from the configuration and starts to watch discovery.
     pub fn start(&mut self) {
         // The configured list may be outdated, so it is applied before anything from discovery.
-        self.news.extend(self.known.take());
+        self.news.extend(self.configured_list.take());
         self.discovery.start(&mut self.turn, &mut self.news);
     }
 
@@ -119,7 +123,7 @@
     }
 
     /// Changes discovery's address or the time for which discovery may be silent.
-    pub(crate) fn move_discovery(&mut self, to: SocketAddr, silence: Micros) {
+    pub(crate) fn set_discovery(&mut self, to: SocketAddr, silence: Micros) {
         self.discovery.move_to(&mut self.turn, to, silence, &mut self.news);
     }
 
@@ -132,7 +136,7 @@
             self.news.extend(self.discovery.corrected_starts(&self.turn.clock));
             if !self.news.is_empty() {
                 let news = self.news.remove(0);
-                return Some(Step::List(self.tell(news)));
+                return Some(Step::List(self.apply_list(news)));
             }
             if let Some(order) = self.exchange.orders.pop_front() {
                 return Some(Step::Order(order));
@@ -146,7 +150,7 @@
     }
 
     /// Passes a list to the decision module.
-    fn tell(&mut self, news: News) -> List {
+    fn apply_list(&mut self, news: News) -> List {
         let News { kind, entries, listed, unreadable, why } = news;
         for what in &why {
             warn!(self.turn.log, "unreadable entry in the list of db hosts"; "what" => what, "of" => unreadable);
--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -87,7 +87,7 @@
     /// Routes statements without a routing comment; `None` if no rules file is configured.
     router: Option<Router>,
     /// Number of plain statements so far, from which each gets a unique id.
-    plain: u64,
+    plain_statements: u64,
 }
 
 impl Frontend {
@@ -113,7 +113,7 @@
             closes: BTreeMap::new(),
             has_hosts: false,
             router: None,
-            plain: 0,
+            plain_statements: 0,
         }
     }
 
--- a/crates/gradeshunt/src/frontend/listener.rs
+++ b/crates/gradeshunt/src/frontend/listener.rs
@@ -14,7 +14,7 @@
 use crate::deadlines::Due;
 use crate::exchange::Exchange;
 use crate::ids::SessionId;
-use crate::inbound::Inbound;
+use crate::inbound::InputBuffer;
 use crate::pg::{sqlstate, Writer};
 use crate::ring::Ring;
 use crate::routing::Origin;
@@ -123,7 +123,7 @@
         let polled = Polled::new(turn, socket, Polling::Session(id))?;
         let session = Session {
             polled,
-            inbound: Inbound::default(),
+            inbound: InputBuffer::default(),
             outbound: Ring::default(),
             stage: Stage::Startup,
             source,
--- a/crates/gradeshunt/src/frontend/messages.rs
+++ b/crates/gradeshunt/src/frontend/messages.rs
@@ -66,7 +66,7 @@
         let Some(s) = self.sessions.get(&id) else { return };
         let part = match s.stage {
             Stage::Startup | Stage::Closing | Stage::Lingering => return,
-            Stage::Ready => s.inbound.first_arrived().filter(|_| s.outbound.len() <= MAX_UNREAD_BYTES),
+            Stage::Ready => s.inbound.first_arrival().filter(|_| s.outbound.len() <= MAX_UNREAD_BYTES),
             Stage::Waiting(_) => None,
         };
         // The time counts from the message's first byte, however long the message waited behind a request in
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -10,7 +10,7 @@
 use crate::deadlines::Due;
 use crate::exchange::Exchange;
 use crate::ids::SessionId;
-use crate::inbound::Inbound;
+use crate::inbound::InputBuffer;
 use crate::memory;
 use crate::pg::{sqlstate, Writer};
 use crate::ring::{Ring, Transfer, INITIAL_RING_SIZE};
@@ -48,7 +48,7 @@
 /// The connection of a client or of another proxy.
 pub(super) struct Session {
     pub(super) polled: Polled,
-    pub(super) inbound: Inbound,
+    pub(super) inbound: InputBuffer,
     pub(super) outbound: Ring,
     pub(super) stage: Stage,
     /// Whether bytes that arrive once the session is closing stay unread: they may be a request, which the
@@ -119,7 +119,7 @@
                 break;
             }
             if n == READS_PER_TURN {
-                s.inbound.note_unread(&s.polled.socket, arrived);
+                s.inbound.record_unread(&s.polled.socket, arrived);
                 turn.again.push(Source::Session(id));
                 break;
             }
@@ -142,7 +142,7 @@
                     break;
                 }
                 Ok(Transfer::Blocked) if s.inbound.is_full() => {
-                    s.inbound.note_unread(&s.polled.socket, arrived);
+                    s.inbound.record_unread(&s.polled.socket, arrived);
                     break;
                 }
                 Ok(Transfer::Blocked) => break,
--- a/crates/gradeshunt/src/frontend/statements.rs
+++ b/crates/gradeshunt/src/frontend/statements.rs
@@ -11,7 +11,7 @@
 use crate::exchange::{Body, Call, Form};
 use crate::ids::SessionId;
 use crate::pg::{self, sqlstate, Writer};
-use crate::routing::{Decision, Routed};
+use crate::routing::{Decision, Destination};
 use crate::turn::Turn;
 
 /// How a query is handled.
@@ -63,7 +63,7 @@
         let mut class = self.names.class(c.class).ok_or_else(|| format!("unknown class {:?}", c.class))?;
         let mut group = GroupId(c.cluster);
         if let (Some(router), Some(s)) = (&mut self.router, self.sessions.get_mut(&session)) {
-            if let Some(decision) = router.contradicts(&self.settings, &s.origin, statement, class) {
+            if let Some(decision) = router.override_class(&self.settings, &s.origin, statement, class) {
                 match route_or_reply(decision) {
                     Ok(r) => (class, group) = (r.class, r.group),
                     Err(reply) => return Ok(QueryOutcome::Reply(reply)),
@@ -109,16 +109,16 @@
         let (Some(router), Some(s)) = (&mut self.router, self.sessions.get_mut(&session)) else {
             return Err("the statement has no routing comment".to_owned());
         };
-        let routed = match route_or_reply(router.decide(&self.settings, &s.origin, statement)) {
-            Ok(routed) => routed,
+        let destination = match route_or_reply(router.decide(&self.settings, &s.origin, statement)) {
+            Ok(destination) => destination,
             Err(reply) => return Ok(QueryOutcome::Reply(reply)),
         };
-        let Routed { class, group, wait, comment, writes } = routed;
-        self.plain += 1;
+        let Destination { class, group, wait, comment, writes } = destination;
+        self.plain_statements += 1;
         s.may_write = writes;
         let session_reads = self.settings.classes[class.0].read == ReadLevel::Session;
         let since_write = s.last_write.filter(|_| session_reads).map(|at| (turn.now - at).max(1));
-        let id: Rc<str> = format!("plain-{:x}-{:x}", session.0, self.plain).into();
+        let id: Rc<str> = format!("plain-{:x}-{:x}", session.0, self.plain_statements).into();
         let body = if comment {
             let mut body = format!("/* id={id},c={},d=", self.names.classes[class.0]);
             let at = body.len()..body.len();
@@ -143,16 +143,16 @@
 }
 
 /// Returns the route of a plain statement, or the reply to the client if the statement is not sent anywhere.
-fn route_or_reply(decision: Decision) -> Result<Routed, Writer> {
+fn route_or_reply(decision: Decision) -> Result<Destination, Writer> {
     let w = Writer::default();
     let unsupported = |what: &str| w.error("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, what, None).ready();
     Err(match decision {
-        Decision::Send(routed) => return Ok(routed),
+        Decision::Send(destination) => return Ok(destination),
         Decision::Empty => Writer::default().message(b'I', &[]).ready(),
-        Decision::Session { verb } => {
+        Decision::SessionState { verb } => {
             unsupported(&format!("{verb} is not supported: the proxy keeps no state of a session"))
         }
-        Decision::Several => unsupported("several statements in one query are not supported"),
+        Decision::MultipleStatements => unsupported("several statements in one query are not supported"),
         Decision::NoRoute { access } => {
             let what = format!("no route is given for a {} of this kind", access.name());
             Writer::default().error("ERROR", sqlstate::NO_ROUTE, &what, None).ready()
--- a/crates/gradeshunt/src/inbound.rs
+++ b/crates/gradeshunt/src/inbound.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns when the `n`th unprocessed byte (counted from one) arrived, or `None` if it has not yet.
-    fn of(&self, n: usize) -> Option<Micros> {
+    fn nth_arrival(&self, n: usize) -> Option<Micros> {
         let end = self.consumed + n as u64;
         self.ranges.iter().find(|range| range.end >= end).map(|range| range.first)
     }
@@ -87,12 +87,12 @@
 
 /// The unprocessed bytes of a client and their arrival times.
 #[derive(Default)]
-pub struct Inbound {
+pub struct InputBuffer {
     ring: Ring,
     arrivals: Arrivals,
 }
 
-impl Inbound {
+impl InputBuffer {
     /// Number of bytes that are read and unprocessed.
     pub fn len(&self) -> usize {
         self.ring.len()
@@ -113,7 +113,7 @@
         self.ring.bytes()
     }
 
-    /// Reads once from the socket. The bytes count as arrived at `at`, or earlier if [`Inbound::note_unread`]
+    /// Reads once from the socket. The bytes count as arrived at `at`, or earlier if [`InputBuffer::record_unread`]
     /// saw them.
     ///
     /// # Errors
@@ -130,7 +130,7 @@
 
     /// Records that the unread bytes in the socket had arrived at `at`. They stay there while the ring is
     /// full, and may be read much later.
-    pub fn note_unread(&mut self, socket: &TcpStream, at: Micros) {
+    pub fn record_unread(&mut self, socket: &TcpStream, at: Micros) {
         // If the system can't tell how many there are, they count as arrived when they are read.
         let Ok(unread) = rustix::io::ioctl_fionread(socket) else { return };
         let end = self.arrivals.consumed + self.ring.len() as u64 + unread;
@@ -138,13 +138,13 @@
     }
 
     /// Returns when the first unprocessed byte arrived, or `None` if there is none.
-    pub fn first_arrived(&self) -> Option<Micros> {
-        self.arrivals.of(1).filter(|_| !self.is_empty())
+    pub fn first_arrival(&self) -> Option<Micros> {
+        self.arrivals.nth_arrival(1).filter(|_| !self.is_empty())
     }
 
     /// Removes the first `n` bytes. Returns when the last of them arrived, or `None` if there was none.
     pub fn consume(&mut self, n: usize) -> Option<Micros> {
-        let arrived = self.arrivals.of(n).filter(|_| n > 0);
+        let arrived = self.arrivals.nth_arrival(n).filter(|_| n > 0);
         self.arrivals.consume(n.min(self.ring.len()));
         self.ring.consume(n);
         arrived
--- a/crates/gradeshunt/src/inbound/tests.rs
+++ b/crates/gradeshunt/src/inbound/tests.rs
@@ -17,7 +17,7 @@
 }
 
 /// Sends bytes and reads them at time `at`.
-fn pass(client: &mut TcpStream, server: &TcpStream, inbound: &mut Inbound, bytes: &[u8], at: Micros) {
+fn pass(client: &mut TcpStream, server: &TcpStream, inbound: &mut InputBuffer, bytes: &[u8], at: Micros) {
     client.write_all(bytes).expect("the connection is open");
     let expected = inbound.len() + bytes.len();
     while inbound.len() < expected {
@@ -29,7 +29,7 @@
 #[test]
 fn each_message_has_the_time_of_its_last_byte() {
     let (mut client, server) = connection();
-    let mut inbound = Inbound::default();
+    let mut inbound = InputBuffer::default();
     pass(&mut client, &server, &mut inbound, b"aabb", 10);
     pass(&mut client, &server, &mut inbound, b"bcc", 30);
     pass(&mut client, &server, &mut inbound, b"c", 20);
@@ -44,7 +44,7 @@
 #[test]
 fn bytes_that_wait_in_the_socket_have_arrived() {
     let (mut client, server) = connection();
-    let mut inbound = Inbound::default();
+    let mut inbound = InputBuffer::default();
     for _ in 0..MAX_RING_SIZE / 1024 {
         pass(&mut client, &server, &mut inbound, &[b'x'; 1024], 5);
     }
@@ -52,7 +52,7 @@
     let unread = || rustix::io::ioctl_fionread(&server).expect("FIONREAD is supported");
     client.write_all(b"yy").expect("the connection is open");
     while unread() < 2 {}
-    inbound.note_unread(&server, 100);
+    inbound.record_unread(&server, 100);
     client.write_all(b"z").expect("the connection is open");
     while unread() < 3 {}
     assert_eq!(inbound.consume(MAX_RING_SIZE), Some(5));
@@ -75,12 +75,13 @@
     }
     let whole = count as Micros * 10;
     for n in 1..=count {
-        let (told, true_time) = (arrivals.of(1).expect("the byte has arrived"), n as Micros * 10);
+        let (recorded, true_time) =
+            (arrivals.nth_arrival(1).expect("the byte has arrived"), n as Micros * 10);
         // Equal ranges would be whole / MAX_ARRIVALS wide; pairwise merging leaves none wider than four times
         // that.
-        let early = true_time - told;
+        let early = true_time - recorded;
         assert!((0..=4 * whole / MAX_ARRIVALS as Micros).contains(&early), "byte {n}: {early}");
         arrivals.consume(1);
     }
-    assert_eq!((arrivals.of(1), arrivals.ranges.capacity()), (None, 0));
+    assert_eq!((arrivals.nth_arrival(1), arrivals.ranges.capacity()), (None, 0));
 }
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -220,7 +220,7 @@
         for member in list.listed.iter().filter(lost).map(|l| l.member).collect::<Vec<_>>() {
             exchange.maintain(turn, member, true);
         }
-        if list.is_heard() && self.frontend.has_hosts {
+        if list.is_from_discovery() && self.frontend.has_hosts {
             self.serve();
         }
     }
--- a/crates/gradeshunt/src/proxy/changes.rs
+++ b/crates/gradeshunt/src/proxy/changes.rs
@@ -4,7 +4,7 @@
 
 use super::Proxy;
 use crate::config::{Config, ConfigError};
-use crate::control::Answer;
+use crate::control::Response;
 use crate::shared::{Change, Duty};
 
 impl Proxy {
@@ -38,10 +38,10 @@
             }
             Change::Kept { caller, out, kept } => {
                 let answer = match kept {
-                    Ok(()) => Answer::new(200, if out { "held out\n" } else { "readmitted\n" }),
+                    Ok(()) => Response::new(200, if out { "held out\n" } else { "readmitted\n" }),
                     Err(e) => {
                         warn!(self.core.turn.log, "cannot keep what an operator says"; "error" => e);
-                        Answer::new(500, "cannot be kept\n")
+                        Response::new(500, "cannot be kept\n")
                     }
                 };
                 self.answer(caller, &answer);
@@ -60,7 +60,7 @@
                 self.frontend.set_rules(config.rules);
                 self.replace_sites(config.sites);
                 self.replace_placement(config.placement);
-                self.core.move_discovery(config.discovery, config.silence);
+                self.core.set_discovery(config.discovery, config.silence);
             }
             Err(why) => {
                 warn!(self.core.turn.log, "configuration kept, the new one can't be used";
--- a/crates/gradeshunt/src/proxy/placement.rs
+++ b/crates/gradeshunt/src/proxy/placement.rs
@@ -7,7 +7,7 @@
 use socket2::Socket;
 
 use super::Proxy;
-use crate::control::Answer;
+use crate::control::Response;
 use crate::placing::Placing;
 use crate::turn;
 
@@ -88,10 +88,10 @@
     }
 
     /// What operators are shown.
-    pub(super) fn show_placement(&self) -> Answer {
+    pub(super) fn show_placement(&self) -> Response {
         match &self.core.exchange.placing {
-            Some(placing) => Answer::new(200, placing.exposition(self.core.turn.now)),
-            None => Answer::new(404, "no file on placement is given\n"),
+            Some(placing) => Response::new(200, placing.exposition(self.core.turn.now)),
+            None => Response::new(404, "no file on placement is given\n"),
         }
     }
 }
--- a/crates/gradeshunt/src/proxy/sites.rs
+++ b/crates/gradeshunt/src/proxy/sites.rs
@@ -7,7 +7,7 @@
 use slog::{info, warn};
 
 use super::Proxy;
-use crate::control::Answer;
+use crate::control::Response;
 use crate::deadlines::Due;
 use crate::exchange::{Ask, Order};
 
@@ -75,22 +75,22 @@
         }
     }
 
-    pub(super) fn show_sites(&self) -> Answer {
+    pub(super) fn show_sites(&self) -> Response {
         match &self.core.exchange.sites {
-            Some(sites) => Answer::new(200, sites.exposition()),
-            None => Answer::new(404, "no file on sites is given\n"),
+            Some(sites) => Response::new(200, sites.exposition()),
+            None => Response::new(404, "no file on sites is given\n"),
         }
     }
 
-    pub(super) fn hold_site(&mut self, name: &str, out: bool) -> Answer {
+    pub(super) fn hold_site(&mut self, name: &str, out: bool) -> Response {
         let Some(sites) = &mut self.core.exchange.sites else {
-            return Answer::new(404, "no file on sites is given\n");
+            return Response::new(404, "no file on sites is given\n");
         };
         if !sites.hold(self.core.turn.now, name, out) {
-            return Answer::new(404, "no such site\n");
+            return Response::new(404, "no such site\n");
         }
         info!(self.core.turn.log, "site held out or let back by an operator"; "out" => out, "name" => name);
         self.carry_out_sites();
-        Answer::new(200, if out { "held out\n" } else { "let back\n" })
+        Response::new(200, if out { "held out\n" } else { "let back\n" })
     }
 }
--- a/crates/gradeshunt/src/routing/mod.rs
+++ b/crates/gradeshunt/src/routing/mod.rs
@@ -36,7 +36,7 @@
 
 impl Match {
     /// Whether a statement of this origin and verdict fulfils all conditions.
-    pub fn holds(&self, origin: &Origin, verdict: &Verdict) -> bool {
+    pub fn accepts(&self, origin: &Origin, verdict: &Verdict) -> bool {
         let among = |list: &[String], it: &String| list.is_empty() || list.contains(it);
         let any = |list: &[String], of: &[String]| list.is_empty() || of.iter().any(|it| list.contains(it));
         (self.access.is_empty() || self.access.contains(&verdict.access))
@@ -69,12 +69,12 @@
     pub routes: Vec<Route>,
     pub declared: Declared,
     /// Bytes for the cache of statement shapes.
-    pub shapes: usize,
+    pub shape_cache_bytes: usize,
 }
 
 /// The destination of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Routed {
+pub struct Destination {
     pub class: ClassId,
     pub group: GroupId,
     /// How long the client waits at most.
@@ -89,13 +89,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The statement is sent on.
-    Send(Routed),
+    Send(Destination),
     /// The text holds no statement.
     Empty,
     /// The statement would change the state of the session, which is not supported.
-    Session { verb: String },
+    SessionState { verb: String },
     /// The text holds several statements.
-    Several,
+    MultipleStatements,
     /// No route matches the statement.
     NoRoute { access: Access },
 }
@@ -122,44 +122,46 @@
 
 impl Router {
     pub fn new(rules: Rules, key: Key) -> Self {
-        let classer = Classer::new(key, Catalogue::new(&rules.declared), rules.shapes);
+        let classer = Classer::new(key, Catalogue::new(&rules.declared), rules.shape_cache_bytes);
         Router { classer, routes: rules.routes, counts: Counts::default() }
     }
 
     /// Classifies a plain statement and decides how it is handled.
     pub fn decide(&mut self, settings: &Settings, origin: &Origin, statement: &str) -> Decision {
-        let told = self.classer.class(statement);
-        let count = match told.verdict.access {
+        let classified = self.classer.class(statement);
+        let count = match classified.verdict.access {
             Access::Read => &mut self.counts.read,
             Access::Write => &mut self.counts.write,
             Access::Session => &mut self.counts.session,
             Access::Unknown => &mut self.counts.unknown,
         };
         *count += 1;
-        match (told.verdict.statements, told.verdict.access) {
+        match (classified.verdict.statements, classified.verdict.access) {
             (Statements::None, _) => Decision::Empty,
-            (Statements::Several, _) => Decision::Several,
+            (Statements::Several, _) => Decision::MultipleStatements,
             // COPY would switch the connection to its data transfer.
-            (Statements::One, Access::Session | Access::Write) if told.verdict.verb == "copy" => {
-                Decision::Session { verb: "copy".to_owned() }
+            (Statements::One, Access::Session | Access::Write) if classified.verdict.verb == "copy" => {
+                Decision::SessionState { verb: "copy".to_owned() }
             }
-            (Statements::One, Access::Session) => Decision::Session { verb: told.verdict.verb.clone() },
-            (Statements::One, _) => self.route(settings, origin, &told),
+            (Statements::One, Access::Session) => {
+                Decision::SessionState { verb: classified.verdict.verb.clone() }
+            }
+            (Statements::One, _) => self.route(settings, origin, &classified),
         }
     }
 
     /// Finds the first route that matches a classified statement.
-    fn route(&mut self, settings: &Settings, origin: &Origin, told: &Told) -> Decision {
-        let verdict = &*told.verdict;
+    fn route(&mut self, settings: &Settings, origin: &Origin, classified: &Told) -> Decision {
+        let verdict = &*classified.verdict;
         // A statement that may write is only sent with a writing class, whatever the route's conditions say.
         // A reading class could send the statement to a replica.
-        let fits = |r: &Route| verdict.access == Access::Read || writes(settings, r.class);
-        let Some(route) = self.routes.iter().find(|r| r.matches.holds(origin, verdict) && fits(r)) else {
+        let fits = |r: &Route| verdict.access == Access::Read || is_write_class(settings, r.class);
+        let Some(route) = self.routes.iter().find(|r| r.matches.accepts(origin, verdict) && fits(r)) else {
             self.counts.unrouted += 1;
             return Decision::NoRoute { access: verdict.access };
         };
         let deadline = settings.classes[route.class.0].deadline;
-        Decision::Send(Routed {
+        Decision::Send(Destination {
             class: route.class,
             group: route.group,
             wait: route.wait.map_or(deadline, |wait| wait.min(deadline)),
@@ -171,22 +173,22 @@
     /// Checks the class that a statement's routing comment names. Returns `None` if the comment is accepted.
     /// If the comment names a reading class and the statement is not known to be a read, the rules override
     /// the comment.
-    pub fn contradicts(
+    pub fn override_class(
         &mut self,
         settings: &Settings,
         origin: &Origin,
         statement: &str,
         class: ClassId,
     ) -> Option<Decision> {
-        if writes(settings, class) {
+        if is_write_class(settings, class) {
             return None;
         }
-        let told = self.classer.class(statement);
-        if told.verdict.access == Access::Read {
+        let classified = self.classer.class(statement);
+        if classified.verdict.access == Access::Read {
             return None;
         }
         self.counts.contradictions += 1;
-        Some(self.route(settings, origin, &told))
+        Some(self.route(settings, origin, &classified))
     }
 
     /// Renders the counters of statements and of the shape cache in the text exposition format.
@@ -215,7 +217,7 @@
 }
 
 /// Whether a class is for writes.
-pub fn writes(settings: &Settings, class: ClassId) -> bool {
+pub fn is_write_class(settings: &Settings, class: ClassId) -> bool {
     settings.classes[class.0].read == ReadLevel::Write
 }
 
@@ -276,8 +278,8 @@
         assert_eq!(to(&nobody, "SELECT record(5)"), Some((3, 1, 3000, true)));
         assert_eq!(to(&nobody, "FROB"), Some((3, 1, 3000, true)));
         let mut decide = |statement: &str| router.decide(&settings, &nobody, statement);
-        assert_eq!(decide("SELECT 1; SELECT 2"), Decision::Several);
-        assert_eq!(decide("BEGIN"), Decision::Session { verb: "begin".to_owned() });
+        assert_eq!(decide("SELECT 1; SELECT 2"), Decision::MultipleStatements);
+        assert_eq!(decide("BEGIN"), Decision::SessionState { verb: "begin".to_owned() });
         assert_eq!(decide(" /* x */ ; "), Decision::Empty);
     }
 
@@ -287,7 +289,7 @@
         let (mut router, settings) = router(&RULES.replace("plain", "plain-write")).expect("rules");
         let origin = Origin::default();
         let mut check =
-            |statement: &str, class| router.contradicts(&settings, &origin, statement, ClassId(class));
+            |statement: &str, class| router.override_class(&settings, &origin, statement, ClassId(class));
         assert_eq!(check("/* c=own-read */ SELECT 1", 1), None);
         assert_eq!(check("/* c=tally-write */ DELETE FROM t", 2), None);
         let Some(Decision::Send(routed)) = check("/* c=own-read */ DELETE FROM t", 1) else {
@@ -304,7 +306,7 @@
         let statement = "SELECT turnout('x'::station_state) FROM t WHERE a = 1";
         let decision = router.decide(&settings, &Origin::default(), statement);
         assert!(
-            matches!(decision, Decision::Send(Routed { class: ClassId(1), writes: false, .. })),
+            matches!(decision, Decision::Send(Destination { class: ClassId(1), writes: false, .. })),
             "{decision:?}"
         );
     }
--- a/crates/gradeshunt/src/routing/rules.rs
+++ b/crates/gradeshunt/src/routing/rules.rs
@@ -8,18 +8,18 @@
 use leadmast::settings::Facts;
 use leadmast::{Effect, GroupId, Micros};
 
-use super::{writes, Match, Route, Rules};
+use super::{is_write_class, Match, Route, Rules};
 
 const SCHEMA: &str = include_str!("../../proto/rules.proto");
 /// Default size of the shape cache.
-const SHAPES_KB: u64 = 4096;
+const DEFAULT_SHAPES_KB: u64 = 4096;
 
 /// Reads the declared functions and the conditions and class name of each route from a file, without the
 /// settings that define the classes.
 ///
 /// # Errors
 /// As for [`parse`], except for errors that need the settings to be found.
-pub fn outline(path: &Path) -> Result<(Declared, Vec<(Match, String)>), String> {
+pub fn read_outline(path: &Path) -> Result<(Declared, Vec<(Match, String)>), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     let message = read(&text).map_err(|e| format!("{}:{e}", path.display()))?;
     let routes = message.list("route").into_iter().map(|r| {
@@ -52,17 +52,21 @@
     if routes.is_empty() {
         return Err(" no route is given".to_owned());
     }
-    if !routes.iter().any(|r| writes(&facts.settings, r.class)) {
+    if !routes.iter().any(|r| is_write_class(&facts.settings, r.class)) {
         return Err(
             " no route accepts statements that may write: at least one needs a class for writes".to_owned()
         );
     }
     let declared = declared(&message);
     let kb = match message.number("shapes_kb") {
-        0 => SHAPES_KB,
+        0 => DEFAULT_SHAPES_KB,
         kb => kb,
     };
-    Ok(Rules { routes, declared, shapes: usize::try_from(kb).unwrap_or(usize::MAX).saturating_mul(1024) })
+    Ok(Rules {
+        routes,
+        declared,
+        shape_cache_bytes: usize::try_from(kb).unwrap_or(usize::MAX).saturating_mul(1024),
+    })
 }
 
 fn route(route: &Message, facts: &Facts) -> Result<Route, String> {
@@ -75,7 +79,7 @@
         .ok_or_else(|| format!(" route {name:?}: unknown class {class:?}, expected one of {}", known()))?;
     // Without an idempotency key, which plain statements lack, a db host can't tell a repeat from a second
     // request.
-    if writes(&facts.settings, class) && facts.settings.classes[class.0].effect != Effect::Unsafe {
+    if is_write_class(&facts.settings, class) && facts.settings.classes[class.0].effect != Effect::Unsafe {
         let class = &classes.classes[class.0];
         return Err(format!(
             " route {name:?}: class {class:?} needs idempotency keys, which plain statements don't have; use a class whose repeat is \"side_effect\""
--- a/crates/measure/src/capacity/hollow.rs
+++ b/crates/measure/src/capacity/hollow.rs
@@ -66,12 +66,12 @@
 
     fn list(&mut self, list: &List) {
         let (heard, entries) = (&mut self.heard, list.entries() as u64);
-        if !list.is_heard() {
+        if !list.is_from_discovery() {
             heard.known += entries;
             return;
         }
         heard.at = Some(Instant::now());
-        if list.is_whole() {
+        if list.is_complete() {
             heard.lists += 1;
         } else {
             heard.changes += 1;
