--- a/crates/gradeshunt/src/backend.rs
+++ b/crates/gradeshunt/src/backend.rs
@@ -24,7 +24,7 @@
 use self::hosts::Host;
 pub use self::hosts::Listed;
 use self::jobs::{Job, Place};
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{AttemptId, Exchange, Order};
 use crate::ids::ServerId;
 use crate::pg::Malformed;
@@ -122,12 +122,12 @@
             });
             if let Some(at) = passed.map(|at| at + STALL_TIMEOUT).filter(|at| *at > turn.now) {
                 *until = at;
-                return turn.deadlines.set(at, Due::Attempt(id));
+                return turn.deadlines.set(at, DeadlineKind::Attempt(id));
             }
         }
         if let (Some(until), Some(attempt)) = (self.goes_on_until(turn.now, id), self.attempts.get_mut(&id)) {
             attempt.0 = until;
-            return turn.deadlines.set(until, Due::Attempt(id));
+            return turn.deadlines.set(until, DeadlineKind::Attempt(id));
         }
         self.give_up(turn, exchange, id, Ending::Timeout);
     }
--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -12,13 +12,13 @@
 use super::reply::{Reply, Shape};
 use super::sync_marker::SyncMarker;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{AttemptId, ConnectionEnd, Exchange};
 use crate::ids::ServerId;
 use crate::pg::Writer;
 use crate::placing::{is_peer, PEER_USER};
 use crate::ring::{Ring, Transfer};
-use crate::turn::{Polled, Source, Turn};
+use crate::turn::{EventSource, Polled, Turn};
 
 /// User and database that the proxy names to db hosts, which accept any.
 const USER: &str = "portal";
@@ -118,13 +118,13 @@
     /// Whether some of what was written here has not left this machine: an answer that comes before is early, and the rest must not
     /// follow it.
     pub(super) fn has_more_to_send(&self) -> bool {
-        !self.outbound.is_empty() || self.polled.holds_unsent()
+        !self.outbound.is_empty() || self.polled.has_unsent_bytes()
     }
 
     /// Whether some of its job has not left this machine.
     pub(super) fn holds_unsent_job(&self) -> bool {
         match &self.stage {
-            Stage::Busy { job, .. } => !job.is_written() || self.polled.holds_unsent(),
+            Stage::Busy { job, .. } => !job.is_written() || self.polled.has_unsent_bytes(),
             _ => false,
         }
     }
@@ -143,8 +143,8 @@
         let Some(host) = self.hosts.get_mut(&member) else { return Ok(()) };
         let id = ServerId(self.next);
         self.next += 1;
-        let polled = Polled::connect(turn, host.addr, Source::Server(id))?;
-        polled.hold_little(SEND_BUFFER);
+        let polled = Polled::connect(turn, host.addr, EventSource::Server(id))?;
+        polled.limit_send_buffer(SEND_BUFFER);
         let by = turn.now + self.connections.connect_timeout;
         let mut s = Server {
             polled,
@@ -169,7 +169,7 @@
         }
         host.starting += 1;
         host.servers += 1;
-        turn.deadlines.set(by, Due::Server(id));
+        turn.deadlines.set(by, DeadlineKind::Server(id));
         self.servers.insert(id, s);
         Ok(())
     }
@@ -198,15 +198,15 @@
         let member = s.member;
         let until = turn.now + (self.connections.idle as f64 * IDLE_SHARE) as Micros;
         let former = std::mem::replace(&mut s.stage, Stage::Idle { since: turn.now, until });
-        turn.deadlines.set(until, Due::Server(id));
+        turn.deadlines.set(until, DeadlineKind::Server(id));
         let host = self.hosts.get_mut(&member)?;
         host.idle.push(id);
         match &former {
             Stage::Starting { by } => {
                 host.starting -= 1;
-                turn.deadlines.clear(*by, Due::Server(id));
+                turn.deadlines.clear(*by, DeadlineKind::Server(id));
             }
-            Stage::Trailing { by } => turn.deadlines.clear(*by, Due::Server(id)),
+            Stage::Trailing { by } => turn.deadlines.clear(*by, DeadlineKind::Server(id)),
             Stage::Busy { reply, .. } => s.remember(reply),
             Stage::Idle { .. } | Stage::Ending { .. } | Stage::Spent => {}
         }
@@ -301,8 +301,8 @@
     fn look_by(&mut self, turn: &mut Turn, attempt: AttemptId, by: Option<Micros>) {
         let (Some(by), Some((due, _))) = (by, self.attempts.get_mut(&attempt)) else { return };
         if by < *due {
-            turn.deadlines.clear(*due, Due::Attempt(attempt));
-            turn.deadlines.set(by, Due::Attempt(attempt));
+            turn.deadlines.clear(*due, DeadlineKind::Attempt(attempt));
+            turn.deadlines.set(by, DeadlineKind::Attempt(attempt));
             *due = by;
         }
     }
--- a/crates/gradeshunt/src/backend/ending.rs
+++ b/crates/gradeshunt/src/backend/ending.rs
@@ -12,10 +12,10 @@
 use super::jobs::Job;
 use super::reply::Reply;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::Exchange;
 use crate::ids::ServerId;
-use crate::turn::{Source, Turn};
+use crate::turn::{EventSource, Turn};
 
 /// How long a db host's own end is awaited. One that is hung, or works on without reading, shows none.
 pub(super) const HOST_END_TIMEOUT: Micros = 10_000;
@@ -54,9 +54,9 @@
         let awaits_end = may_be_followed && s.end_sending();
         s.stage = Stage::Ending { given_up, by };
         if awaits_end {
-            turn.deadlines.set(by, Due::Server(id));
+            turn.deadlines.set(by, DeadlineKind::Server(id));
             // Its end may stand unread already, and is not told again.
-            turn.again.push(Source::Server(id));
+            turn.unfinished.push(EventSource::Server(id));
         } else {
             self.finish_ending(turn, exchange, id);
         }
@@ -70,7 +70,7 @@
             Stage::Ending { given_up, by } => (given_up, by),
             other => return s.stage = other,
         };
-        turn.deadlines.clear(by, Due::Server(id));
+        turn.deadlines.clear(by, DeadlineKind::Server(id));
         debug!(turn.log, "connection of an attempt that was given up has ended"; "member" => member.0,
             "awaited_us" => turn.clock.now() - (by - HOST_END_TIMEOUT));
         self.close(turn, id);
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -16,7 +16,7 @@
 use super::load_report::report_of;
 use super::reply::Reply;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{name, AttemptId, AttemptTrace, Body, ConnectionEnd, Ended, Exchange, Form, Said};
 use crate::ids::ServerId;
 use crate::pg::{self, sqlstate};
@@ -94,12 +94,12 @@
         }
         match &job {
             Job::Attempt { id, write_by, .. } => {
-                turn.deadlines.set(*write_by, Due::Attempt(*id));
+                turn.deadlines.set(*write_by, DeadlineKind::Attempt(*id));
                 self.attempts.insert(*id, (*write_by, Place::Waiting(member)));
             }
             Job::Probe { since, .. } => {
                 let until = since + self.connections.connect_timeout;
-                turn.deadlines.set(until, Due::Probe(member));
+                turn.deadlines.set(until, DeadlineKind::Probe(member));
                 self.probes.insert(member, (until, Place::Waiting(member)));
             }
         }
@@ -183,9 +183,9 @@
             Job::Attempt { id: attempt, body, until, write_by, trace, .. } => {
                 (trace.connection, trace.leased) = (Some(id), Some(turn.now));
                 if let Some(a) = self.attempts.get_mut(attempt) {
-                    turn.deadlines.clear(a.0, Due::Attempt(*attempt));
+                    turn.deadlines.clear(a.0, DeadlineKind::Attempt(*attempt));
                     let due = (*until).min(*write_by);
-                    turn.deadlines.set(due, Due::Attempt(*attempt));
+                    turn.deadlines.set(due, DeadlineKind::Attempt(*attempt));
                     *a = (due, Place::On(id));
                 }
                 let (before, after) = body.around_wait();
@@ -315,7 +315,7 @@
         match job {
             Job::Attempt { id, trace, .. } => {
                 if let Some((until, _)) = self.attempts.remove(&id) {
-                    turn.deadlines.clear(until, Due::Attempt(id));
+                    turn.deadlines.clear(until, DeadlineKind::Attempt(id));
                 }
                 debug!(turn.log, "attempt ended"; "request" => id.request.0, "number" => id.number,
                     "member" => member.0, "ending" => name(ending));
@@ -343,7 +343,7 @@
             }
             Job::Probe { since, .. } => {
                 if let Some((until, _)) = self.probes.remove(&member) {
-                    turn.deadlines.clear(until, Due::Probe(member));
+                    turn.deadlines.clear(until, DeadlineKind::Probe(member));
                 }
                 let report = reply.row.filter(|_| ending == Ending::Ok);
                 let host = self.hosts.get_mut(&member);
--- a/crates/gradeshunt/src/backend/opening.rs
+++ b/crates/gradeshunt/src/backend/opening.rs
@@ -7,7 +7,7 @@
 
 use super::reply::Reply;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::Exchange;
 use crate::transient::is_transient;
 use crate::turn::Turn;
@@ -58,7 +58,7 @@
         warn!(turn.log, "no connection to spare for a db host"; "again" => true, "error" => why.to_string());
         let at = turn.now + CONNECT_PAUSE;
         host.connect_at = Some(at);
-        turn.deadlines.set(at, Due::Connect(member));
+        turn.deadlines.set(at, DeadlineKind::RetryConnect(member));
     }
 
     /// The latest waiting job ends: the fault is this machine's, not the db host's, and nothing was sent.
--- a/crates/gradeshunt/src/backend/pool.rs
+++ b/crates/gradeshunt/src/backend/pool.rs
@@ -6,7 +6,7 @@
 
 use super::connection::Stage;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::ServerId;
 use crate::turn::Turn;
 
@@ -47,10 +47,10 @@
             match s.stage {
                 Stage::Starting { by } => {
                     host.starting -= 1;
-                    turn.deadlines.clear(by, Due::Server(id));
+                    turn.deadlines.clear(by, DeadlineKind::Server(id));
                 }
                 Stage::Trailing { by } | Stage::Ending { by, .. } => {
-                    turn.deadlines.clear(by, Due::Server(id))
+                    turn.deadlines.clear(by, DeadlineKind::Server(id))
                 }
                 Stage::Idle { .. } | Stage::Busy { .. } | Stage::Spent => {}
             }
@@ -76,7 +76,7 @@
     pub(super) fn take_idle(&mut self, turn: &mut Turn, id: ServerId) {
         let Some(s) = self.servers.get(&id) else { return };
         if let (Stage::Idle { until, .. }, Some(host)) = (&s.stage, self.hosts.get_mut(&s.member)) {
-            turn.deadlines.clear(*until, Due::Server(id));
+            turn.deadlines.clear(*until, DeadlineKind::Server(id));
             host.idle.retain(|i| *i != id);
         }
     }
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -10,12 +10,12 @@
 use super::reply::Shape;
 use super::sync_marker::{take_marked, Marked};
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{AnswerCheck, ConnectionEnd, Exchange, Form};
 use crate::ids::ServerId;
 use crate::pg::{self, Malformed};
 use crate::ring::Transfer;
-use crate::turn::{Source, Turn};
+use crate::turn::{EventSource, Turn};
 
 /// How long ReadyForQuery may take behind a whole answer. What a db host tells of itself may come in between.
 pub(super) const READY_GRACE: Micros = 3_000;
@@ -34,7 +34,7 @@
         if let Stage::Busy { reply, ready_by: ready_by @ None, .. } = &mut self.stage {
             if reply.ending().is_some() && !is_doubtful {
                 *ready_by = Some(turn.now + READY_GRACE);
-                turn.deadlines.set(turn.now + READY_GRACE, Due::Server(id));
+                turn.deadlines.set(turn.now + READY_GRACE, DeadlineKind::Server(id));
             }
         }
     }
@@ -73,7 +73,7 @@
                 return self.connection_failed(turn, exchange, id, &why);
             }
         }
-        turn.again.push(Source::Server(id));
+        turn.unfinished.push(EventSource::Server(id));
     }
 
     /// Works off the whole messages that have come.
@@ -222,7 +222,7 @@
                 job.leave_connection(ConnectionEnd::AwaitsReady);
                 let by = turn.now + READY_TIMEOUT;
                 s.stage = Stage::Trailing { by };
-                turn.deadlines.set(by, Due::Server(id));
+                turn.deadlines.set(by, DeadlineKind::Server(id));
             }
             _ => self.close(turn, id),
         }
--- a/crates/gradeshunt/src/backend/sync_marker.rs
+++ b/crates/gradeshunt/src/backend/sync_marker.rs
@@ -16,7 +16,7 @@
 use super::jobs::Job;
 use super::reply::Reply;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{AnswerCheck, ConnectionEnd, Exchange};
 use crate::ids::ServerId;
 use crate::pg::{Malformed, Message, Writer};
@@ -240,7 +240,7 @@
         };
         s.marker = Some(SyncMarker { place, answered: false });
         debug!(turn.log, "answer held back: it may be a copy"; "member" => s.member.0);
-        turn.deadlines.set(by, Due::Server(id));
+        turn.deadlines.set(by, DeadlineKind::Server(id));
         let pushed = s.outbound.push(&Writer::default().query(&[b""]).0);
         let written = if pushed {
             self.flush(turn, exchange, id)
--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -16,7 +16,7 @@
 use super::hosts::Listed;
 use super::jobs::unsent_ending;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{AttemptId, Body, Call, Exchange, Form, Order};
 use crate::pg::Writer;
 use crate::turn::{Ready, Turn};
@@ -159,7 +159,7 @@
     fn pass(&mut self, time: Micros) {
         self.turn.now += time;
         while let Some(due) = self.turn.deadlines.pop(self.turn.now) {
-            if let Due::Server(id) = due {
+            if let DeadlineKind::Server(id) = due {
                 self.backend.server_due(&mut self.turn, &mut self.exchange, id);
             }
         }
@@ -218,7 +218,7 @@
     while play.backend.servers.values().all(|s| s.polled.is_quiet()) {}
     play.turn.now += PATIENCE / 2;
     while let Some(due) = play.turn.deadlines.pop(play.turn.now) {
-        if let Due::Server(id) = due {
+        if let DeadlineKind::Server(id) = due {
             play.backend.server_due(&mut play.turn, &mut play.exchange, id);
         }
     }
--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -10,11 +10,11 @@
 use slog::warn;
 
 use crate::accept_failure::AcceptFailure;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::figures::{Count, Figures};
 use crate::ids::CallerId;
 use crate::ring::{Ring, Transfer};
-use crate::turn::{self, Polled, Source, Turn};
+use crate::turn::{self, EventSource, Polled, Turn};
 
 /// Maximum size in bytes of a call's head, and maximum number of its headers.
 const MAX_CALL_SIZE: usize = 8 * 1024;
@@ -119,7 +119,7 @@
 impl Control {
     /// Listens at `addr` and keeps at most `max_callers` connections open.
     pub fn listen(turn: &Turn, addr: SocketAddr, max_callers: usize) -> io::Result<Self> {
-        let listener = Polled::new(turn, turn::listener(addr)?, Source::Control)?;
+        let listener = Polled::new(turn, turn::listening_socket(addr)?, EventSource::Control)?;
         Ok(Control { listener, max_callers, callers: BTreeMap::new(), next_caller: 0 })
     }
 
@@ -142,13 +142,13 @@
                     AcceptFailure::ThatConnection => {}
                     AcceptFailure::Descriptors | AcceptFailure::System => {
                         warn!(turn.log, "cannot accept an operator's connection"; "error" => e.to_string());
-                        turn.deadlines.set(turn.now + ACCEPT_RETRY, Due::AcceptCallers);
+                        turn.deadlines.set(turn.now + ACCEPT_RETRY, DeadlineKind::RetryAcceptCallers);
                         return;
                     }
                 },
             }
         }
-        turn.again.push(Source::Control);
+        turn.unfinished.push(EventSource::Control);
     }
 
     fn accept_caller(&mut self, turn: &mut Turn, socket: TcpStream) -> io::Result<()> {
@@ -170,9 +170,9 @@
         socket.set_nodelay(true)?;
         let id = CallerId(self.next_caller);
         self.next_caller += 1;
-        let polled = Polled::new(turn, socket, Source::Caller(id))?;
+        let polled = Polled::new(turn, socket, EventSource::Caller(id))?;
         let due = turn.now + CALL_TIMEOUT;
-        turn.deadlines.set(due, Due::Caller(id));
+        turn.deadlines.set(due, DeadlineKind::Caller(id));
         let (inbound, outbound) = (Ring::default(), Ring::default());
         self.callers.insert(id, Caller { polled, inbound, outbound, stage: Stage::Receiving, due });
         Ok(())
@@ -216,9 +216,9 @@
         let Some(c) = self.callers.get_mut(&id) else { return };
         (c.stage, c.inbound) = (Stage::Answered, Ring::default());
         let _ = c.outbound.push(&response.bytes());
-        turn.deadlines.clear(c.due, Due::Caller(id));
+        turn.deadlines.clear(c.due, DeadlineKind::Caller(id));
         c.due = turn.now + LINGER;
-        turn.deadlines.set(c.due, Due::Caller(id));
+        turn.deadlines.set(c.due, DeadlineKind::Caller(id));
         self.ready(turn, id);
     }
 
@@ -238,7 +238,7 @@
 
     fn close(&mut self, turn: &mut Turn, id: CallerId) {
         if let Some(c) = self.callers.remove(&id) {
-            turn.deadlines.clear(c.due, Due::Caller(id));
+            turn.deadlines.clear(c.due, DeadlineKind::Caller(id));
             c.polled.close(turn);
         }
     }
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -10,12 +10,12 @@
 
 use crate::backend::Listed;
 use crate::config::Config;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::discovery::{self, Discovery, News};
 use crate::exchange::{Answer, Exchange, Order};
 use crate::loop_stats::LoopStats;
 use crate::placing::Placing;
-use crate::turn::{Ready, Source, Turn};
+use crate::turn::{EventSource, Ready, Turn};
 
 /// The control part of a proxy.
 pub struct Core {
@@ -103,20 +103,20 @@
     }
 
     /// Processes a source that has become ready. Returns false if the source belongs to another part.
-    pub fn event(&mut self, source: Source) -> bool {
-        let Source::Call(id) = source else { return false };
+    pub fn event(&mut self, source: EventSource) -> bool {
+        let EventSource::Call(id) = source else { return false };
         self.discovery.ready(&mut self.turn, id, &mut self.news);
         true
     }
 
     /// Processes an expired deadline. Returns false if the deadline belongs to another part.
-    pub fn due(&mut self, due: Due) -> bool {
+    pub fn due(&mut self, due: DeadlineKind) -> bool {
         match due {
-            Due::Module(tag) => self.exchange.timer(&mut self.turn, tag),
-            Due::Overdue(id) => self.exchange.overdue(&mut self.turn, id),
-            Due::SendOn(id) => self.exchange.send_on_due(&mut self.turn, id),
-            Due::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
-            Due::Reopen => self.discovery.reopen_due(&mut self.turn, &mut self.news),
+            DeadlineKind::Module(tag) => self.exchange.timer(&mut self.turn, tag),
+            DeadlineKind::Overdue(id) => self.exchange.overdue(&mut self.turn, id),
+            DeadlineKind::ForwardAgain(id) => self.exchange.send_on_due(&mut self.turn, id),
+            DeadlineKind::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
+            DeadlineKind::ReopenWatch => self.discovery.reopen_due(&mut self.turn, &mut self.news),
             _ => return false,
         }
         true
--- a/crates/gradeshunt/src/cycle/tests.rs
+++ b/crates/gradeshunt/src/cycle/tests.rs
@@ -20,26 +20,26 @@
     arrived: Option<Micros>,
 }
 
-impl Parts for Slow {
+impl Handlers for Slow {
     fn core(&mut self) -> &mut Core {
         &mut self.core
     }
 
-    fn event(&mut self, source: Source) {
+    fn event(&mut self, source: EventSource) {
         let turn = &self.core.turn;
         match source {
-            Source::Control => {
+            EventSource::Control => {
                 let began = turn.clock.now();
                 while turn.clock.now() < began + LONG {}
             }
             _ => {
                 self.behind = Some(turn.clock.now() - turn.now);
-                self.arrived = Some(turn.now - turn.unread);
+                self.arrived = Some(turn.now - turn.unread_for);
             }
         }
     }
 
-    fn due(&mut self, _: Due) {}
+    fn due(&mut self, _: DeadlineKind) {}
 }
 
 /// Requests at the end of a long turn use the current time and not that of the turn's start; otherwise their
@@ -48,12 +48,12 @@
 fn time_goes_on_within_a_turn() {
     let mut config =
         Config::load(Some(Path::new("../../examples/config.json"))).expect("the example is readable");
-    let mut cycle = Cycle::open().expect("a poll");
+    let mut cycle = ProxyLoop::open().expect("a poll");
     let core = Core::new(&mut config, cycle.event_loop(), Logger::root(Discard, o!())).expect("a core");
     let mut parts = Slow { core, behind: None, arrived: None };
-    parts.core.turn.again = vec![Source::Control, Source::Files];
+    parts.core.turn.unfinished = vec![EventSource::Control, EventSource::FileTask];
     let began = parts.core.turn.clock.now();
-    cycle.turn(&mut parts, Some(Duration::ZERO)).expect("a turn");
+    cycle.run_turn(&mut parts, Some(Duration::ZERO)).expect("a turn");
     assert!(parts.behind.is_some_and(|behind| behind < LONG), "{:?}", parts.behind);
     assert!(parts.arrived.is_some_and(|arrived| arrived < began + LONG), "{:?}, {began}", parts.arrived);
 }
--- a/crates/gradeshunt/src/deadlines.rs
+++ b/crates/gradeshunt/src/deadlines.rs
@@ -8,7 +8,7 @@
 
 /// The kind of a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum DeadlineKind {
     /// A timer of the decision module.
     Module(TimerTag),
     /// A request that the decision module should have answered long ago.
@@ -16,11 +16,11 @@
     /// The timeout of an attempt.
     Attempt(AttemptId),
     /// A request that could not be forwarded to another proxy may be forwarded again.
-    SendOn(RequestId),
+    ForwardAgain(RequestId),
     /// The timeout of a probe.
     Probe(MemberId),
     /// Retry of connects to a db host that failed for want of a system resource.
-    Connect(MemberId),
+    RetryConnect(MemberId),
     /// The connect timeout or idle timeout of a db host connection.
     Server(ServerId),
     /// The timeout of a client's message or of closing its connection.
@@ -28,67 +28,73 @@
     /// The timeout of a call to discovery.
     Call(CallId),
     /// The watch on discovery is opened again.
-    Reopen,
+    ReopenWatch,
     /// The timeout of an operator's call or of closing its connection.
     Caller(CallerId),
     /// Retry of a failed accept of clients.
-    Accept,
+    RetryAccept,
     /// Retry of a failed accept of other proxies.
-    AcceptPeers,
+    RetryAcceptPeers,
     /// Retry of a failed accept of operators.
-    AcceptCallers,
+    RetryAcceptCallers,
     /// Check of the folder that the processes of this proxy share.
-    Look,
+    CheckSharedFolder,
     /// A new process starts without having seen the shared folder.
-    Begin,
+    SharedFolderTimeout,
     /// A new process next to another one starts to serve, or checks again if it knows no db hosts yet.
-    Serve,
+    DiscoveryTimeout,
     /// Scan for idle clients.
-    Reap,
+    ScanIdleClients,
     /// Close of the listener after SIGTERM.
     CloseListener,
     /// Check of the sites.
-    Sites,
+    CheckSites,
     /// Summary line in the log.
     Summary,
     /// After SIGTERM: all requests still in progress get an answer.
     LastAnswers,
     /// After SIGTERM: the time by which the process exits.
-    Leave,
+    Exit,
 }
 
-impl Due {
+impl DeadlineKind {
     /// The kind of deadline, as the log and the metrics name it.
     pub fn name(self) -> &'static str {
         match self {
-            Due::Module(_) => "module's timers",
-            Due::Overdue(_)
-            | Due::SendOn(_)
-            | Due::Attempt(_)
-            | Due::Probe(_)
-            | Due::Connect(_)
-            | Due::Server(_) => "db hosts' deadlines",
-            Due::Session(_) | Due::Accept | Due::AcceptPeers | Due::Reap | Due::CloseListener => {
-                "clients' deadlines"
-            }
-            Due::Call(_) | Due::Reopen => "discovery's deadlines",
-            Due::Caller(_) | Due::AcceptCallers => "operators' deadlines",
-            Due::Look | Due::Begin | Due::Serve | Due::Sites | Due::Summary => "housekeeping",
-            Due::LastAnswers | Due::Leave => "housekeeping",
+            DeadlineKind::Module(_) => "module's timers",
+            DeadlineKind::Overdue(_)
+            | DeadlineKind::ForwardAgain(_)
+            | DeadlineKind::Attempt(_)
+            | DeadlineKind::Probe(_)
+            | DeadlineKind::RetryConnect(_)
+            | DeadlineKind::Server(_) => "db hosts' deadlines",
+            DeadlineKind::Session(_)
+            | DeadlineKind::RetryAccept
+            | DeadlineKind::RetryAcceptPeers
+            | DeadlineKind::ScanIdleClients
+            | DeadlineKind::CloseListener => "clients' deadlines",
+            DeadlineKind::Call(_) | DeadlineKind::ReopenWatch => "discovery's deadlines",
+            DeadlineKind::Caller(_) | DeadlineKind::RetryAcceptCallers => "operators' deadlines",
+            DeadlineKind::CheckSharedFolder
+            | DeadlineKind::SharedFolderTimeout
+            | DeadlineKind::DiscoveryTimeout
+            | DeadlineKind::CheckSites
+            | DeadlineKind::Summary => "housekeeping",
+            DeadlineKind::LastAnswers | DeadlineKind::Exit => "housekeeping",
         }
     }
 }
 
 /// The set of deadlines, sorted by time.
 #[derive(Default)]
-pub struct Deadlines(BTreeSet<(Micros, Due)>);
+pub struct Deadlines(BTreeSet<(Micros, DeadlineKind)>);
 
 impl Deadlines {
-    pub fn set(&mut self, at: Micros, due: Due) {
+    pub fn set(&mut self, at: Micros, due: DeadlineKind) {
         self.0.insert((at, due));
     }
 
-    pub fn clear(&mut self, at: Micros, due: Due) {
+    pub fn clear(&mut self, at: Micros, due: DeadlineKind) {
         self.0.remove(&(at, due));
     }
 
@@ -98,7 +104,7 @@
     }
 
     /// Removes and returns the earliest deadline if it has expired.
-    pub fn pop(&mut self, now: Micros) -> Option<Due> {
+    pub fn pop(&mut self, now: Micros) -> Option<DeadlineKind> {
         let first = *self.0.first().filter(|d| d.0 <= now)?;
         self.0.remove(&first);
         Some(first.1)
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -16,11 +16,11 @@
 pub use self::list::News;
 use self::list::Reader;
 use crate::clock::Clock;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::Ask;
 use crate::ids::CallId;
 use crate::ring::{Ring, Transfer};
-use crate::turn::{Polled, Source, Turn};
+use crate::turn::{EventSource, Polled, Turn};
 
 /// Reads of a call in one turn.
 const READS: usize = 8;
@@ -106,9 +106,9 @@
     fn reopen_in(&mut self, turn: &mut Turn, wait: Micros) {
         let at = turn.now + wait;
         if let Some(before) = self.reopen.replace(at) {
-            turn.deadlines.clear(before, Due::Reopen);
+            turn.deadlines.clear(before, DeadlineKind::ReopenWatch);
         }
-        turn.deadlines.set(at, Due::Reopen);
+        turn.deadlines.set(at, DeadlineKind::ReopenWatch);
     }
 
     /// The list as the configuration gives it, which may be old.
@@ -174,7 +174,7 @@
             Ask::Watch => format!("/api/targets?stream=1&index={}", self.reader.generation()),
             Ask::Fetch => "/api/targets".to_owned(),
         };
-        let polled = Polled::connect(turn, self.addr, Source::Call(id))?;
+        let polled = Polled::connect(turn, self.addr, EventSource::Call(id))?;
         let mut outbound = Ring::default();
         let request =
             format!("GET {path} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", self.addr);
@@ -182,7 +182,7 @@
             return Err(io::ErrorKind::OutOfMemory.into());
         }
         let due = turn.now + self.silence;
-        turn.deadlines.set(due, Due::Call(id));
+        turn.deadlines.set(due, DeadlineKind::Call(id));
         let inbound = Ring::default();
         let answer = Answer::new(ask == Ask::Watch);
         let after = self.reader.generation();
@@ -245,7 +245,7 @@
                     "entries" => news[before..].iter().map(|n| n.entries.len()).sum::<usize>());
             }
         }
-        turn.again.push(Source::Call(id));
+        turn.unfinished.push(EventSource::Call(id));
     }
 
     /// Takes what has come of an answer, in pieces that may be split anywhere.
@@ -258,9 +258,9 @@
             }
         }
         if whole.any {
-            turn.deadlines.clear(call.due, Due::Call(id));
+            turn.deadlines.clear(call.due, DeadlineKind::Call(id));
             call.due = turn.now + self.silence;
-            turn.deadlines.set(call.due, Due::Call(id));
+            turn.deadlines.set(call.due, DeadlineKind::Call(id));
         }
         Ok(())
     }
@@ -292,7 +292,7 @@
 
     fn end(&mut self, turn: &mut Turn, id: CallId) {
         if let Some(call) = self.calls.remove(&id) {
-            turn.deadlines.clear(call.due, Due::Call(id));
+            turn.deadlines.clear(call.due, DeadlineKind::Call(id));
             call.polled.close(turn);
         }
     }
--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -59,13 +59,13 @@
     }
 
     /// Lets time go on to the next deadline, and tells when and what that was.
-    fn next(&mut self) -> (Micros, Due) {
+    fn next(&mut self) -> (Micros, DeadlineKind) {
         let at = self.turn.deadlines.next().expect("a deadline");
         self.turn.now = at;
         let due = self.turn.deadlines.pop(at).expect("it is due");
         match due {
-            Due::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
-            Due::Reopen => self.discovery.reopen_due(&mut self.turn, &mut self.news),
+            DeadlineKind::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
+            DeadlineKind::ReopenWatch => self.discovery.reopen_due(&mut self.turn, &mut self.news),
             other => panic!("{other:?}"),
         }
         (at, due)
@@ -83,7 +83,7 @@
         assert_eq!(play.next().0, SILENCE);
         assert!(play.news.is_empty(), "nobody is told of a failure, and none waits for that");
         let (at, due) = play.next();
-        assert_eq!(due, Due::Reopen);
+        assert_eq!(due, DeadlineKind::ReopenWatch);
         reopened.push(at - SILENCE);
         play.answer(HEAD);
         assert_eq!(play.discovery.calls.len(), 1, "one watch at a time");
@@ -101,7 +101,7 @@
         assert_eq!(play.next().0, opened + SILENCE);
         assert!(play.discovery.calls.is_empty(), "none before its turn");
         assert!(play.news.is_empty(), "nobody is told of a failure, and none waits for that");
-        assert_eq!(play.next(), (opened + SILENCE + 250_000, Due::Reopen));
+        assert_eq!(play.next(), (opened + SILENCE + 250_000, DeadlineKind::ReopenWatch));
         assert_eq!(play.discovery.calls.len(), 1, "one watch at a time");
         opened = play.turn.now;
     }
@@ -113,14 +113,14 @@
 fn pushed_list_is_watched_again_soon_whatever_ends_the_watch() {
     let mut play = Play::open(0.5, Some(60_000));
     let call = play.answer(HEAD);
-    assert_eq!((play.next().0, play.next()), (SILENCE, (SILENCE + 60_000, Due::Reopen)));
+    assert_eq!((play.next().0, play.next()), (SILENCE, (SILENCE + 60_000, DeadlineKind::ReopenWatch)));
     drop(call);
     let id = *play.discovery.calls.last_key_value().expect("a call").0;
     drop(play.answer(HEAD));
     while play.discovery.calls.contains_key(&id) {
         play.discovery.ready(&mut play.turn, id, &mut play.news);
     }
-    assert_eq!(play.next(), (SILENCE + 120_000, Due::Reopen));
+    assert_eq!(play.next(), (SILENCE + 120_000, DeadlineKind::ReopenWatch));
     assert!(play.news.is_empty(), "the decisions have no part in it");
 }
 
@@ -170,7 +170,7 @@
         self.decisions.handle(turn.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Timer { tag, at } => turn.deadlines.set(at, Due::Module(tag)),
+                Action::Timer { tag, at } => turn.deadlines.set(at, DeadlineKind::Module(tag)),
                 Action::Watch => discovery.ask(turn, Ask::Watch, news),
                 other => panic!("{other:?}"),
             }
@@ -203,7 +203,7 @@
         while self.latest_call() <= failed {
             let at = self.play.turn.deadlines.next().expect("a deadline");
             match self.play.turn.deadlines.pop(at).expect("it is due") {
-                Due::Module(tag) => {
+                DeadlineKind::Module(tag) => {
                     self.play.turn.now = at;
                     self.decide(Event::Timer { tag });
                 }
--- a/crates/gradeshunt/src/exchange/client_side.rs
+++ b/crates/gradeshunt/src/exchange/client_side.rs
@@ -7,7 +7,7 @@
 use super::reason::FinalReason;
 use super::request::Request;
 use super::state::Exchange;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::AttemptId;
 use crate::turn::Turn;
 
@@ -19,7 +19,7 @@
         let Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body } = call;
         self.tally.requests += 1;
         // The module answers by the deadline. Should it not, the client gets its answer all the same.
-        turn.deadlines.set(deadline + self.slack, Due::Overdue(id));
+        turn.deadlines.set(deadline + self.slack, DeadlineKind::Overdue(id));
         let place = tenant.map_or(self.figures.tenants.len() - 1, |t| t.0);
         let effect = self.effects.get(class.0).copied().unwrap_or(Effect::Unsafe);
         let request = Request::new(class, effect, group, tenant, place, deadline, body);
--- a/crates/gradeshunt/src/exchange/decisions.rs
+++ b/crates/gradeshunt/src/exchange/decisions.rs
@@ -10,7 +10,7 @@
 use super::messages::{Ask, Final, Order};
 use super::request::{Out, Request};
 use super::state::Exchange;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::AttemptId;
 use crate::site_loss;
 use crate::turn::Turn;
@@ -81,7 +81,7 @@
             }
             Action::Probe { member } => self.orders.push_back(Order::Probe(member)),
             Action::Close { member } => self.orders.push_back(Order::CloseIdle(member)),
-            Action::Timer { tag, at } => turn.deadlines.set(at, Due::Module(tag)),
+            Action::Timer { tag, at } => turn.deadlines.set(at, DeadlineKind::Module(tag)),
             Action::Watch => self.asks.push_back(Ask::Watch),
             Action::Fetch => self.asks.push_back(Ask::Fetch),
         }
--- a/crates/gradeshunt/src/exchange/final_answers.rs
+++ b/crates/gradeshunt/src/exchange/final_answers.rs
@@ -6,7 +6,7 @@
 use super::messages::{Answer, Final};
 use super::reason::FinalReason;
 use super::state::Exchange;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::turn::Turn;
 
 impl Exchange {
@@ -76,7 +76,7 @@
     pub(super) fn end(&mut self, turn: &mut Turn, id: RequestId) -> bool {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return false };
         r.over = true;
-        turn.deadlines.clear(r.deadline + self.slack, Due::Overdue(id));
+        turn.deadlines.clear(r.deadline + self.slack, DeadlineKind::Overdue(id));
         self.forget_if_done(id);
         true
     }
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -11,7 +11,7 @@
 use super::reason::FinalReason;
 use super::request::{Forward, Out};
 use super::state::Exchange;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::AttemptId;
 use crate::placing::{self, Decision};
 use crate::turn::Turn;
@@ -148,7 +148,7 @@
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.forward = Some(Box::new(forward));
-        turn.deadlines.set(at, Due::SendOn(id));
+        turn.deadlines.set(at, DeadlineKind::ForwardAgain(id));
     }
 
     /// The close has settled: the request is sent on, unless it is over by now.
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -8,7 +8,7 @@
 use super::reason::FinalReason;
 use super::state::Exchange;
 use super::trace::{ConnectionEnd, EndedAttempt};
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::AttemptId;
 use crate::site_loss;
 use crate::turn::Turn;
@@ -38,7 +38,7 @@
         r.queued += bytes.len();
         self.answers.push_back((id, Answer::Part(bytes)));
         if !std::mem::replace(&mut r.begun, true) {
-            turn.deadlines.clear(r.deadline + self.slack, Due::Overdue(id));
+            turn.deadlines.clear(r.deadline + self.slack, DeadlineKind::Overdue(id));
             // Of what another proxy serves the module knows nothing.
             if r.forward.is_none() {
                 let last = true;
--- a/crates/gradeshunt/src/frontend/eviction.rs
+++ b/crates/gradeshunt/src/frontend/eviction.rs
@@ -9,7 +9,7 @@
 use super::peers::stopping_error;
 use super::session::{Session, Stage};
 use super::{Frontend, ServiceState};
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::Exchange;
 use crate::ids::SessionId;
 use crate::pg::Writer;
@@ -76,7 +76,7 @@
     /// Together they could use up all connections, and no other client's request would get through. While few
     /// clients are open, none is closed, so that a person at a prompt keeps the connection.
     pub fn close_idle_clients(&mut self, turn: &mut Turn) {
-        turn.deadlines.set(turn.now + IDLE_SCAN_INTERVAL, Due::Reap);
+        turn.deadlines.set(turn.now + IDLE_SCAN_INTERVAL, DeadlineKind::ScanIdleClients);
         if self.service != ServiceState::Running {
             return self
                 .sessions
--- a/crates/gradeshunt/src/frontend/listener.rs
+++ b/crates/gradeshunt/src/frontend/listener.rs
@@ -11,14 +11,14 @@
 use super::session::{Session, Stage, MESSAGE_TIMEOUT};
 use super::{Frontend, ServiceState};
 use crate::accept_failure::AcceptFailure;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::Exchange;
 use crate::ids::SessionId;
 use crate::inbound::InputBuffer;
 use crate::pg::{sqlstate, Writer};
 use crate::ring::Ring;
 use crate::routing::Origin;
-use crate::turn::{Polled, Source as Polling, Turn};
+use crate::turn::{EventSource, Polled, Turn};
 
 /// Maximum number of connections accepted from one listener in one turn.
 const ACCEPTS_PER_TURN: usize = 64;
@@ -39,41 +39,41 @@
 impl Frontend {
     /// Starts to accept clients.
     pub fn open(&mut self, turn: &mut Turn, listener: TcpListener) -> io::Result<()> {
-        self.listener = Some(Polled::new(turn, listener, Polling::Listener)?);
+        self.listener = Some(Polled::new(turn, listener, EventSource::Listener)?);
         // The poll is edge-triggered and does not report connections that arrived before the registration.
-        turn.again.push(Polling::Listener);
+        turn.unfinished.push(EventSource::Listener);
         Ok(())
     }
 
     /// Starts to accept other proxies at this listener, which replaces the former one.
     pub fn listen_for_peers(&mut self, turn: &mut Turn, listener: TcpListener) -> io::Result<()> {
-        let polled = Polled::new(turn, listener, Polling::PeerListener)?;
+        let polled = Polled::new(turn, listener, EventSource::PeerListener)?;
         if let Some(former) = self.peer_listener.replace(polled) {
             former.close(turn);
         }
-        turn.again.push(Polling::PeerListener);
+        turn.unfinished.push(EventSource::PeerListener);
         Ok(())
     }
 
     /// Accepts connections of clients.
     pub fn accept(&mut self, turn: &mut Turn) {
         if self.accept_some(turn, Source::Client) == Backlog::More {
-            turn.again.push(Polling::Listener);
+            turn.unfinished.push(EventSource::Listener);
         }
     }
 
     /// Accepts connections of other proxies.
     pub fn accept_peers(&mut self, turn: &mut Turn) {
         if self.accept_some(turn, Source::Proxy) == Backlog::More {
-            turn.again.push(Polling::PeerListener);
+            turn.unfinished.push(EventSource::PeerListener);
         }
     }
 
     fn accept_some(&mut self, turn: &mut Turn, from: Source) -> Backlog {
         for _ in 0..ACCEPTS_PER_TURN {
-            let (listener, again) = match from {
-                Source::Client => (&self.listener, Due::Accept),
-                Source::Proxy => (&self.peer_listener, Due::AcceptPeers),
+            let (listener, retry) = match from {
+                Source::Client => (&self.listener, DeadlineKind::RetryAccept),
+                Source::Proxy => (&self.peer_listener, DeadlineKind::RetryAcceptPeers),
             };
             let Some(listener) = listener else { return Backlog::Empty };
             let backlog = usize::from(from == Source::Proxy);
@@ -97,8 +97,8 @@
                             self.evict_one(turn);
                         }
                         // The waiting connections are known to have waited since now at the latest.
-                        self.backlog_since[backlog].get_or_insert(turn.now - turn.unread);
-                        turn.deadlines.set(turn.now + ACCEPT_RETRY, again);
+                        self.backlog_since[backlog].get_or_insert(turn.now - turn.unread_for);
+                        turn.deadlines.set(turn.now + ACCEPT_RETRY, retry);
                         return Backlog::Stuck;
                     }
                 },
@@ -120,7 +120,7 @@
         let id = SessionId(self.next_session);
         self.next_session += 1;
         let full = self.sessions.len() >= self.max_clients && !self.evict_one(turn);
-        let polled = Polled::new(turn, socket, Polling::Session(id))?;
+        let polled = Polled::new(turn, socket, EventSource::Session(id))?;
         let session = Session {
             polled,
             inbound: InputBuffer::default(),
@@ -165,7 +165,7 @@
         if backlog == Some(Backlog::Stuck) {
             // Closing the socket would reset the waiting connections. Clients that disconnect make room for
             // them, so the close is retried later.
-            turn.deadlines.set(turn.now + ACCEPT_RETRY, Due::CloseListener);
+            turn.deadlines.set(turn.now + ACCEPT_RETRY, DeadlineKind::CloseListener);
         } else if let Some(listener) = self.listener.take() {
             listener.close(turn);
         }
--- a/crates/gradeshunt/src/frontend/messages.rs
+++ b/crates/gradeshunt/src/frontend/messages.rs
@@ -13,7 +13,7 @@
 use crate::ids::SessionId;
 use crate::pg::{self, sqlstate, Malformed, Startup, Writer};
 use crate::routing::Origin;
-use crate::turn::{Source, Turn};
+use crate::turn::{EventSource, Turn};
 
 /// The process ID (of BackendKeyData) that identifies a session in a cancel request.
 fn process_of(id: SessionId) -> u32 {
@@ -36,7 +36,7 @@
                 break;
             }
             if n == MESSAGES_PER_TURN {
-                turn.again.push(Source::Session(id));
+                turn.unfinished.push(EventSource::Session(id));
                 break;
             }
             let step = match s.stage {
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -7,7 +7,7 @@
 
 use super::closing::CloseReason;
 use super::Frontend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::Exchange;
 use crate::ids::SessionId;
 use crate::inbound::InputBuffer;
@@ -15,7 +15,7 @@
 use crate::pg::{sqlstate, Writer};
 use crate::ring::{Ring, Transfer, INITIAL_RING_SIZE};
 use crate::routing::Origin;
-use crate::turn::{Polled, Source, Turn};
+use crate::turn::{EventSource, Polled, Turn};
 
 /// Maximum number of reads of one connection in one turn.
 const READS_PER_TURN: usize = 8;
@@ -111,7 +111,7 @@
     pub fn ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: SessionId) {
         let mut full = false;
         let waited = self.sessions.get_mut(&id).and_then(|s| s.backlogged_since.take());
-        let arrived = waited.unwrap_or(turn.now - turn.unread);
+        let arrived = waited.unwrap_or(turn.now - turn.unread_for);
         for n in 0..=READS_PER_TURN {
             let Some(s) = self.sessions.get_mut(&id) else { return };
             if s.is_closing() && s.leaves_unread {
@@ -120,7 +120,7 @@
             }
             if n == READS_PER_TURN {
                 s.inbound.record_unread(&s.polled.socket, arrived);
-                turn.again.push(Source::Session(id));
+                turn.unfinished.push(EventSource::Session(id));
                 break;
             }
             full = s.inbound.is_full();
@@ -156,7 +156,7 @@
         // While the ring was full the socket was not read until it would block, and the edge-triggered poll
         // reports readiness only once.
         if full && self.sessions.get(&id).is_some_and(|s| !s.inbound.is_full()) {
-            turn.again.push(Source::Session(id));
+            turn.unfinished.push(EventSource::Session(id));
         }
     }
 
@@ -171,7 +171,7 @@
                 Err(_) => {
                     // The connection is broken. The session is closed when it is next processed.
                     s.disconnected = true;
-                    return turn.again.push(Source::Session(id));
+                    return turn.unfinished.push(EventSource::Session(id));
                 }
             }
         }
@@ -222,11 +222,11 @@
     pub(super) fn set_due(&mut self, turn: &mut Turn, id: SessionId, due: Option<Micros>) {
         let Some(s) = self.sessions.get_mut(&id) else { return };
         if let Some(at) = s.due {
-            turn.deadlines.clear(at, Due::Session(id));
+            turn.deadlines.clear(at, DeadlineKind::Session(id));
         }
         s.due = due;
         if let Some(at) = due {
-            turn.deadlines.set(at, Due::Session(id));
+            turn.deadlines.set(at, DeadlineKind::Session(id));
         }
     }
 
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -213,7 +213,7 @@
                 // left.
                 assert!(matches!(last, Final::Refused { .. }), "{last:?}");
                 self.frontend.answer(&mut self.turn, &mut self.exchange, request, last);
-            } else if self.turn.again.pop().is_some() {
+            } else if self.turn.unfinished.pop().is_some() {
                 self.frontend.ready(&mut self.turn, &mut self.exchange, self.id);
             } else {
                 return self.exchange.figures().expired_unsent;
--- a/crates/gradeshunt/src/pg.rs
+++ b/crates/gradeshunt/src/pg.rs
@@ -369,7 +369,7 @@
     let id = id.ok_or("the routing comment has no usable id")?;
     let class = class.ok_or("the routing comment has no c")?;
     let cluster = cluster.ok_or("the routing comment has no cluster")?;
-    Ok(RoutingComment { id, has_key: has_key, class, tenant, wait_ms, wait_at, repeat, cluster, after })
+    Ok(RoutingComment { id, has_key, class, tenant, wait_ms, wait_at, repeat, cluster, after })
 }
 
 /// Returns the first quoted literal after the comment; it identifies the session.
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -18,15 +18,15 @@
 use crate::config::Config;
 use crate::control::Control;
 use crate::control_core::{Core, List, Step};
-use crate::cycle::Parts;
-use crate::deadlines::Due;
+use crate::cycle::Handlers;
+use crate::deadlines::DeadlineKind;
 use crate::exchange;
 use crate::frontend::Frontend;
 use crate::resumed::Resumed;
 use crate::shared::worker::{Wake, Worker};
 use crate::shared::{self, Shared};
 use crate::transient::retry_while_transient;
-use crate::turn::{self, Ready, Source};
+use crate::turn::{self, EventSource, Ready};
 
 const SUMMARY: Micros = 10_000_000;
 /// Interval of the looks at what the processes of this proxy share.
@@ -89,7 +89,8 @@
         let (ping, pinged) =
             retry_while_transient(calloop::ping::make_ping).map_err(|e| format!("cannot poll: {e}"))?;
         let source = Resumed(pinged);
-        let told = event_loop.handle().insert_source(source, |(), (), ready| ready.push(Source::Files));
+        let told =
+            event_loop.handle().insert_source(source, |(), (), ready| ready.push(EventSource::FileTask));
         told.map_err(|e| format!("cannot poll: {e}"))?;
         Proxy::with_waker(config, file, event_loop, log, ping)
     }
@@ -110,9 +111,9 @@
         let connect_timeout = facts.connections.connect_timeout;
         let backend = Backend::new(facts.connections, &facts.names);
         let listener = match listen_fd {
-            Some(fd) => retry_while_transient(|| turn::inherited(fd))
+            Some(fd) => retry_while_transient(|| turn::inherited_listener(fd))
                 .map_err(|e| format!("cannot listen on descriptor {fd}: {e}"))?,
-            None => retry_while_transient(|| turn::listener(listen))
+            None => retry_while_transient(|| turn::listening_socket(listen))
                 .map_err(|e| format!("cannot listen at {listen}: {e}"))?,
         };
         let mut frontend = Frontend::new(facts.settings, facts.names);
@@ -125,11 +126,11 @@
         let worker = Worker::start(move || shared::files::open(&name), file, waker);
         let worker = worker.map_err(|e| format!("cannot start a thread: {e}"))?;
         let turn = &mut core.turn;
-        turn.deadlines.set(turn.now + SUMMARY, Due::Summary);
-        turn.deadlines.set(turn.now, Due::Reap);
-        turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, Due::Look);
+        turn.deadlines.set(turn.now + SUMMARY, DeadlineKind::Summary);
+        turn.deadlines.set(turn.now, DeadlineKind::ScanIdleClients);
+        turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, DeadlineKind::CheckSharedFolder);
         let begin_by = turn.now + SHARED_STATE_TIMEOUT;
-        turn.deadlines.set(begin_by, Due::Begin);
+        turn.deadlines.set(begin_by, DeadlineKind::SharedFolderTimeout);
         let mut proxy = Proxy {
             core,
             frontend,
@@ -164,7 +165,7 @@
     /// long. Beside another process there is time to hear discovery first; alone, clients wait already.
     fn begin(&mut self) {
         let Some(by) = self.begin_by.take() else { return };
-        self.core.turn.deadlines.clear(by, Due::Begin);
+        self.core.turn.deadlines.clear(by, DeadlineKind::SharedFolderTimeout);
         self.share_limits();
         self.core.start();
         self.settle();
@@ -172,7 +173,10 @@
             self.serve();
         } else {
             info!(self.core.turn.log, "starting beside another process"; "control" => self.operators());
-            self.core.turn.deadlines.set(self.core.turn.now + self.silence + DISCOVERY_GRACE, Due::Serve);
+            self.core
+                .turn
+                .deadlines
+                .set(self.core.turn.now + self.silence + DISCOVERY_GRACE, DeadlineKind::DiscoveryTimeout);
         }
     }
 
@@ -237,65 +241,71 @@
     }
 }
 
-impl Parts for Proxy {
+impl Handlers for Proxy {
     fn core(&mut self) -> &mut Core {
         &mut self.core
     }
 
-    fn event(&mut self, source: Source) {
+    fn event(&mut self, source: EventSource) {
         self.core.event(source);
         let (turn, exchange) = (&mut self.core.turn, &mut self.core.exchange);
         match source {
-            Source::Listener => self.frontend.accept(turn),
-            Source::PeerListener => self.frontend.accept_peers(turn),
-            Source::Session(id) => self.frontend.ready(turn, exchange, id),
-            Source::Server(id) => self.backend.ready(turn, exchange, id),
-            Source::Call(_) => {}
-            Source::Control => self.control.iter_mut().for_each(|c| c.accept(turn)),
-            Source::Caller(id) => self.call(id),
-            Source::Terminate => self.terminate(),
-            Source::Reload => self.shared.reread(),
-            Source::Files => self.file_work_done(),
+            EventSource::Listener => self.frontend.accept(turn),
+            EventSource::PeerListener => self.frontend.accept_peers(turn),
+            EventSource::Session(id) => self.frontend.ready(turn, exchange, id),
+            EventSource::Server(id) => self.backend.ready(turn, exchange, id),
+            EventSource::Call(_) => {}
+            EventSource::Control => self.control.iter_mut().for_each(|c| c.accept(turn)),
+            EventSource::Caller(id) => self.call(id),
+            EventSource::Terminate => self.terminate(),
+            EventSource::Reload => self.shared.reread(),
+            EventSource::FileTask => self.file_work_done(),
         }
         self.settle();
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: DeadlineKind) {
         self.core.due(due);
         let (turn, exchange) = (&mut self.core.turn, &mut self.core.exchange);
         match due {
-            Due::Module(_) | Due::Overdue(_) | Due::SendOn(_) | Due::Call(_) | Due::Reopen => {}
-            Due::Attempt(id) => self.backend.attempt_due(turn, exchange, id),
-            Due::Probe(member) => self.backend.probe_due(turn, exchange, member),
-            Due::Connect(member) => self.backend.connect_due(turn, exchange, member),
-            Due::Server(id) => self.backend.server_due(turn, exchange, id),
-            Due::Session(id) => self.frontend.session_due(turn, id),
-            Due::Accept => self.frontend.accept(turn),
-            Due::AcceptPeers => self.frontend.accept_peers(turn),
-            Due::Caller(id) => self.control.iter_mut().for_each(|c| c.due(turn, id)),
-            Due::AcceptCallers => self.control.iter_mut().for_each(|c| c.accept(turn)),
-            Due::Look => {
-                turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, Due::Look);
+            DeadlineKind::Module(_)
+            | DeadlineKind::Overdue(_)
+            | DeadlineKind::ForwardAgain(_)
+            | DeadlineKind::Call(_)
+            | DeadlineKind::ReopenWatch => {}
+            DeadlineKind::Attempt(id) => self.backend.attempt_due(turn, exchange, id),
+            DeadlineKind::Probe(member) => self.backend.probe_due(turn, exchange, member),
+            DeadlineKind::RetryConnect(member) => self.backend.connect_due(turn, exchange, member),
+            DeadlineKind::Server(id) => self.backend.server_due(turn, exchange, id),
+            DeadlineKind::Session(id) => self.frontend.session_due(turn, id),
+            DeadlineKind::RetryAccept => self.frontend.accept(turn),
+            DeadlineKind::RetryAcceptPeers => self.frontend.accept_peers(turn),
+            DeadlineKind::Caller(id) => self.control.iter_mut().for_each(|c| c.due(turn, id)),
+            DeadlineKind::RetryAcceptCallers => self.control.iter_mut().for_each(|c| c.accept(turn)),
+            DeadlineKind::CheckSharedFolder => {
+                turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, DeadlineKind::CheckSharedFolder);
                 // The ping that tells of work done may have failed.
                 self.file_work_done();
                 let turn = &self.core.turn;
                 let stands = self.shared.look(turn.now);
                 stands.into_iter().for_each(|c| self.change(c));
             }
-            Due::Begin => self.begin(),
-            Due::Reap => self.frontend.close_idle_clients(turn),
-            Due::CloseListener => self.frontend.close_listener(turn, exchange, false),
-            Due::Serve if self.frontend.has_hosts => self.serve(),
-            Due::Serve => turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, Due::Serve),
-            Due::Sites => self.watch_sites(),
-            Due::Summary => {
+            DeadlineKind::SharedFolderTimeout => self.begin(),
+            DeadlineKind::ScanIdleClients => self.frontend.close_idle_clients(turn),
+            DeadlineKind::CloseListener => self.frontend.close_listener(turn, exchange, false),
+            DeadlineKind::DiscoveryTimeout if self.frontend.has_hosts => self.serve(),
+            DeadlineKind::DiscoveryTimeout => {
+                turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, DeadlineKind::DiscoveryTimeout)
+            }
+            DeadlineKind::CheckSites => self.watch_sites(),
+            DeadlineKind::Summary => {
                 exchange.sum_up(turn);
                 self.frontend.log_summary(turn);
                 self.core.loop_stats.log_summary(&turn.log);
-                turn.deadlines.set(turn.now + SUMMARY, Due::Summary);
+                turn.deadlines.set(turn.now + SUMMARY, DeadlineKind::Summary);
             }
-            Due::LastAnswers => exchange.end_all(turn),
-            Due::Leave => self.leave = true,
+            DeadlineKind::LastAnswers => exchange.end_all(turn),
+            DeadlineKind::Exit => self.leave = true,
         }
         self.settle();
     }
--- a/crates/gradeshunt/src/proxy/lifetime.rs
+++ b/crates/gradeshunt/src/proxy/lifetime.rs
@@ -8,7 +8,7 @@
 
 use super::{Proxy, OPERATORS};
 use crate::control::Control;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::shared::Duty;
 
 /// New connections go on coming for a while after SIGTERM.
@@ -109,9 +109,9 @@
         let Shutdown { last_call, last_answers, leave, end } = Shutdown::at(now, self.longest);
         self.end_by = Some(end);
         self.frontend.set_drain_deadline(last_call);
-        self.core.turn.deadlines.set(now + ACCEPT_ON, Due::CloseListener);
-        self.core.turn.deadlines.set(last_answers, Due::LastAnswers);
-        self.core.turn.deadlines.set(leave, Due::Leave);
+        self.core.turn.deadlines.set(now + ACCEPT_ON, DeadlineKind::CloseListener);
+        self.core.turn.deadlines.set(last_answers, DeadlineKind::LastAnswers);
+        self.core.turn.deadlines.set(leave, DeadlineKind::Exit);
     }
 }
 
--- a/crates/gradeshunt/src/proxy/placement.rs
+++ b/crates/gradeshunt/src/proxy/placement.rs
@@ -16,7 +16,7 @@
 
 /// Binds the address for other proxies.
 fn bind(address: SocketAddr) -> Result<Socket, String> {
-    turn::bound(address).map_err(|e| format!("cannot listen for other proxies at {address}: {e}"))
+    turn::bound_socket(address).map_err(|e| format!("cannot listen for other proxies at {address}: {e}"))
 }
 
 impl Proxy {
--- a/crates/gradeshunt/src/proxy/sites.rs
+++ b/crates/gradeshunt/src/proxy/sites.rs
@@ -8,7 +8,7 @@
 
 use super::Proxy;
 use crate::control::Response;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{Ask, Order};
 
 impl Proxy {
@@ -16,7 +16,7 @@
     pub(super) fn watch_sites(&mut self) {
         let Some(sites) = &mut self.core.exchange.sites else { return };
         let next = sites.look(self.core.turn.now);
-        self.core.turn.deadlines.set(next, Due::Sites);
+        self.core.turn.deadlines.set(next, DeadlineKind::CheckSites);
         self.carry_out_sites();
     }
 
--- a/crates/gradeshunt/src/proxy/tests.rs
+++ b/crates/gradeshunt/src/proxy/tests.rs
@@ -8,7 +8,7 @@
 use slog::{o, Discard};
 
 use super::*;
-use crate::cycle::Cycle;
+use crate::cycle::ProxyLoop;
 
 /// A wait that ends a test which fails, and bounds none that passes.
 const PATIENCE: Duration = Duration::from_secs(8);
@@ -31,13 +31,13 @@
 }
 
 /// Turns the loop until somebody connects.
-fn turn_until_connected(cycle: &mut Cycle, proxy: &mut Proxy, listener: &TcpListener) {
+fn turn_until_connected(cycle: &mut ProxyLoop, proxy: &mut Proxy, listener: &TcpListener) {
     listener.set_nonblocking(true).expect("it can be set");
     let began = Instant::now();
     while listener.accept().is_err() {
         assert!(began.elapsed() < PATIENCE, "nobody connects");
-        let wait = Cycle::wait(&proxy.core);
-        cycle.turn(proxy, wait).expect("it can poll");
+        let wait = ProxyLoop::wait(&proxy.core);
+        cycle.run_turn(proxy, wait).expect("it can poll");
     }
 }
 
@@ -48,14 +48,14 @@
     let (first, second) = (discovery(), discovery());
     let file = std::env::temp_dir().join(format!("gradeshunt-broken-waker-{}.json", std::process::id()));
     write_config(&file, first.local_addr().expect("an address"));
-    let mut cycle = Cycle::open().expect("a poll");
+    let mut cycle = ProxyLoop::open().expect("a poll");
     let config = Config::load(Some(&file)).expect("a configuration");
     let log = Logger::root(Discard, o!());
     let proxy = Proxy::with_waker(config, Some(file.clone()), cycle.event_loop(), log, BrokenWaker);
     let mut proxy = proxy.expect("its sockets");
     turn_until_connected(&mut cycle, &mut proxy, &first);
     write_config(&file, second.local_addr().expect("an address"));
-    proxy.event(Source::Reload);
+    proxy.event(EventSource::Reload);
     turn_until_connected(&mut cycle, &mut proxy, &second);
     std::fs::remove_file(&file).expect("it is there");
 }
--- a/crates/gradeshunt/src/run.rs
+++ b/crates/gradeshunt/src/run.rs
@@ -9,23 +9,23 @@
 
 use crate::cli::{self, Arguments, Command, LogFormat, LogLevel};
 use crate::config::Config;
-use crate::cycle::Cycle;
+use crate::cycle::ProxyLoop;
 use crate::logging::{Log, LAST};
 use crate::placement_command;
 use crate::planning;
 use crate::proxy::Proxy;
 use crate::resumed::Resumed;
 use crate::transient::retry_while_transient;
-use crate::turn::{Ready, Source};
+use crate::turn::{EventSource, Ready};
 
 /// The status of `gradeshunt plan` where a loss is not borne.
 const NOT_BORNE: u8 = 3;
 
 /// Turns of the loop until the proxy is done; gives until when the process may wait for its log.
-fn turns(mut cycle: Cycle, mut proxy: Proxy) -> Result<Instant, String> {
+fn turns(mut cycle: ProxyLoop, mut proxy: Proxy) -> Result<Instant, String> {
     while !proxy.is_done() {
-        let wait = Cycle::wait(&proxy.core);
-        cycle.turn(&mut proxy, wait)?;
+        let wait = ProxyLoop::wait(&proxy.core);
+        cycle.run_turn(&mut proxy, wait)?;
         if let Some(why) = proxy.failed.take() {
             return Err(why);
         }
@@ -40,11 +40,11 @@
     let signals = retry_while_transient(|| Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGHUP])?));
     let signals = signals.map_err(|e| format!("cannot take signals: {e}"))?;
     let config = Config::load(file.as_deref())?;
-    let cycle = Cycle::open()?;
+    let cycle = ProxyLoop::open()?;
     let handle = cycle.event_loop().handle();
     let told = handle.insert_source(Resumed(signals), move |event, (), ready: &mut Ready| {
         let reload = event.signal() == Signal::SIGHUP;
-        ready.push(if reload { Source::Reload } else { Source::Terminate });
+        ready.push(if reload { EventSource::Reload } else { EventSource::Terminate });
     });
     told.map_err(|e| format!("cannot take signals: {e}"))?;
     let log = Log::open(format, level, &config.name);
--- a/crates/gradeshunt/src/turn.rs
+++ b/crates/gradeshunt/src/turn.rs
@@ -19,7 +19,7 @@
 
 /// An event source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum EventSource {
     /// The clients' listening socket.
     Listener,
     /// The socket at which other proxies connect.
@@ -39,27 +39,27 @@
     /// SIGHUP arrived.
     Reload,
     /// A background file operation is done.
-    Files,
+    FileTask,
 }
 
-impl Source {
+impl EventSource {
     /// The kind of source, as the log and the metrics name it.
     pub fn name(self) -> &'static str {
         match self {
-            Source::Listener | Source::PeerListener => "listener",
-            Source::Session(_) => "client",
-            Source::Server(_) => "db host",
-            Source::Call(_) => "discovery",
-            Source::Control | Source::Caller(_) => "operators",
-            Source::Terminate | Source::Reload => "signal",
-            Source::Files => "files",
+            EventSource::Listener | EventSource::PeerListener => "listener",
+            EventSource::Session(_) => "client",
+            EventSource::Server(_) => "db host",
+            EventSource::Call(_) => "discovery",
+            EventSource::Control | EventSource::Caller(_) => "operators",
+            EventSource::Terminate | EventSource::Reload => "signal",
+            EventSource::FileTask => "files",
         }
     }
 }
 
 /// The ready sources that the poll's callbacks collect. The turn processes them afterwards, so that no part
 /// is re-entered.
-pub type Ready = Vec<Source>;
+pub type Ready = Vec<EventSource>;
 
 /// The shared context of a turn.
 pub struct Turn {
@@ -67,12 +67,12 @@
     pub now: Micros,
     /// How long bytes that are read now may have been waiting in the socket while the loop was busy or had no
     /// CPU.
-    pub unread: Micros,
+    pub unread_for: Micros,
     pub clock: Clock,
     pub deadlines: Deadlines,
     pub log: Logger,
     /// Sources with more work than one turn allows; they are processed first in the next turn.
-    pub again: Vec<Source>,
+    pub unfinished: Vec<EventSource>,
     handle: LoopHandle<'static, Ready>,
 }
 
@@ -81,17 +81,21 @@
         let clock = Clock::start();
         Turn {
             now: clock.now(),
-            unread: 0,
+            unread_for: 0,
             clock,
             deadlines: Deadlines::default(),
             log,
-            again: Vec::new(),
+            unfinished: Vec::new(),
             handle,
         }
     }
 
     /// Registers a socket with the poll, edge-triggered: a part must use a ready socket until it would block.
-    fn watch<S: AsFd + 'static>(&self, socket: &Rc<S>, source: Source) -> std::io::Result<RegistrationToken> {
+    fn register<S: AsFd + 'static>(
+        &self,
+        socket: &Rc<S>,
+        source: EventSource,
+    ) -> std::io::Result<RegistrationToken> {
         let watched = Generic::new(Rc::clone(socket), Interest::BOTH, Mode::Edge);
         let token = self.handle.insert_source(watched, move |_, _, ready: &mut Ready| {
             ready.push(source);
@@ -102,7 +106,7 @@
 }
 
 /// Opens a listening socket at an address.
-pub fn listener(addr: SocketAddr) -> std::io::Result<TcpListener> {
+pub fn listening_socket(addr: SocketAddr) -> std::io::Result<TcpListener> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -114,7 +118,7 @@
 
 /// Binds a socket to an address without listening, so that connections are refused. During an upgrade another
 /// process of the same proxy may be bound to the address as well.
-pub fn bound(addr: SocketAddr) -> std::io::Result<socket2::Socket> {
+pub fn bound_socket(addr: SocketAddr) -> std::io::Result<socket2::Socket> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -126,7 +130,7 @@
 
 /// Returns a listening socket that this process inherited from the platform. Safe code can't take ownership
 /// of a descriptor by its number, so this asks the system for a duplicate.
-pub fn inherited(fd: i32) -> std::io::Result<TcpListener> {
+pub fn inherited_listener(fd: i32) -> std::io::Result<TcpListener> {
     use rustix::process::{getpid, pidfd_getfd, pidfd_open, PidfdFlags, PidfdGetfdFlags};
     let own = pidfd_open(getpid(), PidfdFlags::empty())?;
     let listener = TcpListener::from(pidfd_getfd(own, fd, PidfdGetfdFlags::empty())?);
@@ -141,9 +145,9 @@
 }
 
 impl<S: AsFd + 'static> Polled<S> {
-    pub fn new(turn: &Turn, socket: S, source: Source) -> std::io::Result<Self> {
+    pub fn new(turn: &Turn, socket: S, source: EventSource) -> std::io::Result<Self> {
         let socket = Rc::new(socket);
-        let token = turn.watch(&socket, source)?;
+        let token = turn.register(&socket, source)?;
         Ok(Polled { socket, token })
     }
 
@@ -161,7 +165,7 @@
 
     /// Whether the system holds bytes that it has not sent yet: with the low-water mark at its minimum the
     /// socket is then not writable. Returns false if the mark can't be set.
-    pub fn holds_unsent(&self) -> bool {
+    pub fn has_unsent_bytes(&self) -> bool {
         use rustix::event::{poll, PollFd, PollFlags};
         use rustix::io::retry_on_intr;
         let socket = socket2::SockRef::from(&*self.socket);
@@ -196,12 +200,12 @@
     }
 
     /// Sets the size of the socket's send buffer, if the system allows it.
-    pub fn hold_little(&self, bytes: usize) {
+    pub fn limit_send_buffer(&self, bytes: usize) {
         let _ = socket2::SockRef::from(&*self.socket).set_send_buffer_size(bytes);
     }
 
     /// Starts a non-blocking connect; the poll reports when the connection is established.
-    pub fn connect(turn: &Turn, to: SocketAddr, source: Source) -> std::io::Result<Self> {
+    pub fn connect(turn: &Turn, to: SocketAddr, source: EventSource) -> std::io::Result<Self> {
         use socket2::{Domain, Protocol, Socket, Type};
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
--- a/crates/measure/src/capacity/hollow.rs
+++ b/crates/measure/src/capacity/hollow.rs
@@ -1,5 +1,5 @@
 //! Hollow proxies: many proxies' control parts in one thread, over real sockets to discovery. Each has the program's own
-//! discovery client, list, decision module, deadlines and loop ([`gradeshunt::Core`], [`gradeshunt::Cycle`]).
+//! discovery client, list, decision module, deadlines and loop ([`gradeshunt::Core`], [`gradeshunt::ProxyLoop`]).
 //!
 //! Left out are the parts with sockets of clients, db hosts and operators, the folder that two processes of a proxy share
 //! (20 looks a second), the summary in the log, and the log's lines. What the decision module asks of db hosts is counted
@@ -14,7 +14,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use gradeshunt::{Config, Core, Cycle, Due, List, Parts, Source, Step};
+use gradeshunt::{Config, Core, DeadlineKind, EventSource, Handlers, List, ProxyLoop, Step};
 use rustix::event::{epoll, eventfd, EventfdFlags, Timespec};
 use slog::{o, Discard, Logger};
 
@@ -80,17 +80,17 @@
     }
 }
 
-impl Parts for Hollow {
+impl Handlers for Hollow {
     fn core(&mut self) -> &mut Core {
         &mut self.core
     }
 
-    fn event(&mut self, source: Source) {
+    fn event(&mut self, source: EventSource) {
         self.core.event(source);
         self.settle();
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: DeadlineKind) {
         self.core.due(due);
         self.settle();
     }
@@ -98,7 +98,7 @@
 
 /// A hollow proxy with its loop.
 struct Proxy {
-    cycle: Cycle,
+    cycle: ProxyLoop,
     parts: Hollow,
     /// When it is to have a turn at the latest, whatever its sources do.
     due: Option<Instant>,
@@ -108,7 +108,7 @@
     /// Starts as the program does, from a configuration's file.
     fn start(file: &Path, heard: Heard) -> Result<Proxy, String> {
         let mut config = Config::load(Some(file))?;
-        let cycle = Cycle::open()?;
+        let cycle = ProxyLoop::open()?;
         let core = Core::new(&mut config, cycle.event_loop(), Logger::root(Discard, o!()))?;
         let mut parts = Hollow { core, heard };
         parts.heard.starts += 1;
@@ -285,7 +285,7 @@
     fn turn(&mut self, number: usize, touched: &mut Vec<(usize, Heard)>) {
         let Some(Some(proxy)) = self.proxies.get_mut(number) else { return };
         let before = proxy.parts.heard.clone();
-        if let Err(why) = proxy.cycle.turn(&mut proxy.parts, Some(Duration::ZERO)) {
+        if let Err(why) = proxy.cycle.run_turn(&mut proxy.parts, Some(Duration::ZERO)) {
             touched.push((number, Heard { failed: Some(why), ..before }));
             self.end(number);
             return;
@@ -299,7 +299,7 @@
     /// Notes when a proxy is to have its next turn at the latest.
     fn schedule(&mut self, number: usize) {
         let Some(Some(proxy)) = self.proxies.get_mut(number) else { return };
-        let due = Cycle::wait(&proxy.parts.core).map(|wait| Instant::now() + wait);
+        let due = ProxyLoop::wait(&proxy.parts.core).map(|wait| Instant::now() + wait);
         if let Some(former) = std::mem::replace(&mut proxy.due, due) {
             self.dues.remove(&(former, number));
         }
