--- a/crates/gradeshunt/src/control/tests.rs
+++ b/crates/gradeshunt/src/control/tests.rs
@@ -4,7 +4,7 @@
 
 /// Names in paths are decoded, and invalid calls get the 4xx status that tells what is wrong.
 #[test]
-fn reads_calls() {
+fn parses_calls() {
     let call = |line: &str| parse_call(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
     assert_eq!(call("GET /status?full"), Ok(Some(Command::Status)));
     assert_eq!(call("PUT /maintenance/enter/s%2D5%2f"), Ok(Some(Command::HoldOut("s-5/".into()))));
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -68,7 +68,7 @@
 /// A closing client that reads slowly gets its whole last answer, because each progress extends the deadline;
 /// one that stops reading is closed at the deadline.
 #[test]
-fn slow_client_gets_the_whole_of_its_last_answer() {
+fn slow_client_gets_its_whole_last_answer() {
     let (mut frontend, mut turn, mut client, id, _poll) = one_client();
     // Small socket buffers, so that the answer takes many rounds.
     let socket = &frontend.sessions[&id].polled.socket;
@@ -245,7 +245,7 @@
 
 /// Pipelined requests that arrive in one read expire while they queue behind a request that takes long.
 #[test]
-fn pipeline_of_ten_behind_a_long_request_is_over_with_its_wait() {
+fn pipelined_requests_expire_behind_a_long_request() {
     let ten = |pipeline: &mut Pipeline| {
         let bytes: Vec<u8> = (1..=10).flat_map(|number| read_of(number, 100)).collect();
         pipeline.send(10_000, &bytes);
@@ -324,7 +324,7 @@
 /// A client that stops in the middle of a message, sent behind a request in progress, is closed after the
 /// message timeout from the message's first byte, not from the answer to the request before it.
 #[test]
-fn half_a_request_behind_another_is_bounded_from_its_first_byte() {
+fn incomplete_message_is_bounded_from_its_first_byte() {
     const STOPPED: Micros = 10_000;
     let mut pipeline = Pipeline::begin();
     pipeline.send(STOPPED, &read_of(1, 1_000)[..30]);
--- a/crates/gradeshunt/src/inbound/tests.rs
+++ b/crates/gradeshunt/src/inbound/tests.rs
@@ -17,7 +17,7 @@
 }
 
 /// Sends bytes and reads them at time `at`.
-fn pass(client: &mut TcpStream, server: &TcpStream, inbound: &mut InputBuffer, bytes: &[u8], at: Micros) {
+fn transfer(client: &mut TcpStream, server: &TcpStream, inbound: &mut InputBuffer, bytes: &[u8], at: Micros) {
     client.write_all(bytes).expect("the connection is open");
     let expected = inbound.len() + bytes.len();
     while inbound.len() < expected {
@@ -30,9 +30,9 @@
 fn each_message_has_the_time_of_its_last_byte() {
     let (mut client, server) = connection();
     let mut inbound = InputBuffer::default();
-    pass(&mut client, &server, &mut inbound, b"aabb", 10);
-    pass(&mut client, &server, &mut inbound, b"bcc", 30);
-    pass(&mut client, &server, &mut inbound, b"c", 20);
+    transfer(&mut client, &server, &mut inbound, b"aabb", 10);
+    transfer(&mut client, &server, &mut inbound, b"bcc", 30);
+    transfer(&mut client, &server, &mut inbound, b"c", 20);
     assert_eq!(inbound.bytes(), b"aabbbccc");
     assert_eq!(inbound.consume(2), Some(10));
     assert_eq!(inbound.consume(3), Some(30), "its last byte arrived with the second piece");
@@ -42,11 +42,11 @@
 
 /// Bytes that stay in the socket while the ring is full keep the time at which they were seen there.
 #[test]
-fn bytes_that_wait_in_the_socket_have_arrived() {
+fn bytes_in_the_socket_have_arrived() {
     let (mut client, server) = connection();
     let mut inbound = InputBuffer::default();
     for _ in 0..MAX_RING_SIZE / 1024 {
-        pass(&mut client, &server, &mut inbound, &[b'x'; 1024], 5);
+        transfer(&mut client, &server, &mut inbound, &[b'x'; 1024], 5);
     }
     assert!(inbound.is_full());
     let unread = || rustix::io::ioctl_fionread(&server).expect("FIONREAD is supported");
--- a/crates/gradeshunt/src/pg/tests.rs
+++ b/crates/gradeshunt/src/pg/tests.rs
@@ -5,7 +5,7 @@
 /// The span of the wait covers exactly the digits of `d`, wherever `d` is in the comment, so that they can be
 /// rewritten.
 #[test]
-fn finds_the_wait() {
+fn wait_span_covers_its_digits() {
     let s =
         "/* id=9b,c=own-read,d=480,k=5c,cluster=2,after=17,r=1 */ SELECT data FROM facts WHERE code = 'ab'";
     let c = parse_routing_comment(s).expect("a comment");
@@ -16,7 +16,7 @@
 
 /// Statements whose comment lacks a required value are refused and not routed by a guess.
 #[test]
-fn refuses_what_it_cannot_route() {
+fn incomplete_routing_comments_are_refused() {
     for s in [
         "SELECT 1",
         "/* id=1,c=a,d=5 */ x",
@@ -31,7 +31,7 @@
 
 /// Truncated or malformed errors are rejected, since clients could not parse them.
 #[test]
-fn takes_only_whole_errors() {
+fn malformed_errors_are_rejected() {
     let whole = b"SERROR\0VERROR\0CXX000\0Mno\0\0";
     assert_eq!(parse_error_code(whole), Ok("XX000"));
     for cut in 0..whole.len() {
@@ -52,7 +52,7 @@
 
 /// Length fields are bounded, so that no client or db host can make the proxy buffer or read without limit.
 #[test]
-fn bounds_lengths() {
+fn lengths_are_bounded() {
     assert!(parse_message(&[b'Q', 0, 0, 0, 3], FRONTEND_MESSAGE_TYPES).is_err());
     assert!(parse_message(&[b'Q', 0x7f, 0, 0, 0], FRONTEND_MESSAGE_TYPES).is_err());
     assert!(parse_message(b"!", FRONTEND_MESSAGE_TYPES).is_err());
--- a/crates/gradeshunt/src/ring/tests.rs
+++ b/crates/gradeshunt/src/ring/tests.rs
@@ -5,7 +5,7 @@
 
 /// Bytes come out in the order in which they went in, also when they wrap around the end of the buffer.
 #[test]
-fn keeps_order_over_the_wrap() {
+fn order_is_kept_across_the_wrap() {
     let (mut ring, mut next_in, mut next_out) = (Ring::default(), 0u8, 0u8);
     for step in 1..2000usize {
         let bytes: Vec<u8> = (0..step % 97).map(|i| next_in.wrapping_add(i as u8)).collect();
@@ -22,7 +22,7 @@
 
 /// A ring never exceeds its maximum size, and an empty one frees its memory.
 #[test]
-fn is_bounded_and_shrinks() {
+fn ring_is_bounded_and_shrinks() {
     let mut ring = Ring::default();
     assert!(ring.push(&vec![1; MAX_RING_SIZE]));
     assert!(ring.is_full() && !ring.push(&[1]));
--- a/crates/gradeshunt/src/routing/mod.rs
+++ b/crates/gradeshunt/src/routing/mod.rs
@@ -257,7 +257,7 @@
 
     /// Statements that may write never match a route of a reading class, which could send them to a replica.
     #[test]
-    fn writes_go_where_writes_go() {
+    fn writes_skip_reading_classes() {
         let text = RULES.replace("plain", "plain-write");
         let (mut router, settings) = router(&text).expect("rules");
         let counter = Origin { user: "counter".to_owned(), ..Origin::default() };
@@ -285,7 +285,7 @@
 
     /// A routing comment that names a reading class for a write is overridden by the rules.
     #[test]
-    fn the_stricter_wins() {
+    fn write_with_a_reading_class_is_overridden() {
         let (mut router, settings) = router(&RULES.replace("plain", "plain-write")).expect("rules");
         let origin = Origin::default();
         let mut check =
@@ -300,7 +300,7 @@
     }
 
     #[test]
-    fn the_example_can_be_used() {
+    fn example_rules_are_valid() {
         let (mut router, settings) =
             router(include_str!("../../../../examples/rules.textproto")).expect("rules");
         let statement = "SELECT turnout('x'::station_state) FROM t WHERE a = 1";
@@ -312,7 +312,7 @@
     }
 
     #[test]
-    fn bad_rules_are_told_by_line() {
+    fn invalid_rules_are_reported_by_line() {
         let complaint = |text: &str| router(text).err().unwrap_or_default();
         let good = RULES.replace("plain", "plain-write");
         for (text, says) in [
--- a/crates/gradeshunt/tests/faults.rs
+++ b/crates/gradeshunt/tests/faults.rs
@@ -17,15 +17,15 @@
 use serde_json::Value;
 
 /// Timeout of a step in a failing test; a passing test never waits this long.
-const PATIENCE: Duration = Duration::from_secs(20);
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn scratch(name: &str) -> PathBuf {
+fn temp_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()))
 }
 
 fn shim() -> &'static Shim {
     static SHIM: OnceLock<Shim> = OnceLock::new();
-    SHIM.get_or_init(|| Shim::build(&scratch("shim")).expect("a C compiler"))
+    SHIM.get_or_init(|| Shim::build(&temp_path("shim")).expect("a C compiler"))
 }
 
 /// Starts a process under the shim, which injects no faults yet.
@@ -40,11 +40,11 @@
     shell: &str,
     faults: &[(Knob, i64)],
 ) -> (Standalone, FaultControl) {
-    let control = FaultControl::create(shim(), &scratch(&format!("{name}-control"))).expect("a file");
+    let control = FaultControl::create(shim(), &temp_path(&format!("{name}-control"))).expect("a file");
     faults.iter().for_each(|(knob, value)| control.set(*knob, *value).expect("the fault is configured"));
     let start = Start {
         program: Path::new(env!("CARGO_BIN_EXE_gradeshunt")),
-        folder: scratch(name),
+        folder: temp_path(name),
         config,
         shell,
         environment: control.environment(),
@@ -57,8 +57,8 @@
 }
 
 fn connect(program: &Standalone) -> Client {
-    drop(program.connect(PATIENCE));
-    Client::connect(program.addr, &[("user", "portal")], PATIENCE).expect("the session starts")
+    drop(program.connect(STEP_TIMEOUT));
+    Client::connect(program.addr, &[("user", "portal")], STEP_TIMEOUT).expect("the session starts")
 }
 
 /// Opens the set of three db hosts that most tests need, and returns it with its configuration.
@@ -105,7 +105,7 @@
     let mut asked = 0;
     while control.get(Knob::Injected).expect("the shim's counter is readable") == 0 {
         program.signal("-HUP");
-        program.until_logged("configuration reread", PATIENCE);
+        program.until_logged("configuration reread", STEP_TIMEOUT);
         asked += 1;
         assert_eq!(client.query(&read_of(asked)).expect("an answer").code(), None);
     }
@@ -126,7 +126,7 @@
     let injected = || control.get(Knob::Injected).expect("the shim's counter is readable");
     // A protocol violation makes the process log a line.
     let line = || {
-        let mut stranger: TcpStream = program.connect(PATIENCE);
+        let mut stranger: TcpStream = program.connect(STEP_TIMEOUT);
         stranger.write_all(&wire::message(b'?', &[b'?'; 60])).expect("the connection is open");
         assert_eq!(wire::read(&mut stranger).expect("an error").0, b'E');
     };
@@ -139,7 +139,7 @@
     }
     control.set(Knob::LogRate, 0).expect("the fault is configured");
     program.signal("-HUP");
-    program.until_logged("configuration reread", PATIENCE);
+    program.until_logged("configuration reread", STEP_TIMEOUT);
     drop(client);
     program.signal("-TERM");
     assert!(program.ends().expect("the process can be waited for").success());
@@ -198,7 +198,7 @@
     let mut client = connect(&program);
     assert_eq!(client.query(&read_of(1)).expect("an answer").code(), None);
     write(&|| {});
-    program.until_logged("configuration reread", PATIENCE);
+    program.until_logged("configuration reread", STEP_TIMEOUT);
 }
 
 /// Waits until the shim has injected a fault.
@@ -211,7 +211,7 @@
 /// Writes to the folder that a proxy's processes share fail while a process starts: the process serves, and
 /// registers in the folder once there is space.
 #[test]
-fn folder_without_room_at_the_start_ends_nothing() {
+fn full_shared_folder_at_the_start_is_not_fatal() {
     let (_site, config) = site();
     let faults = [(Knob::DiskErrno, errno::ENOSPC), (Knob::DiskRate, 1000)];
     let (mut program, control) = program_with("folder-full", config, "", &faults);
@@ -223,7 +223,11 @@
     let serving = || std::fs::read(&place).is_ok_and(|duty| duty == b"r");
     let began = Instant::now();
     while !serving() {
-        assert!(began.elapsed() < PATIENCE, "the process does not register as serving: {}", program.log());
+        assert!(
+            began.elapsed() < STEP_TIMEOUT,
+            "the process does not register as serving: {}",
+            program.log()
+        );
         thread::yield_now();
     }
     drop(client);
@@ -233,7 +237,7 @@
 
 /// The system can't create sockets while a process starts: the process listens as soon as it can.
 #[test]
-fn socket_that_cannot_be_had_for_a_moment_ends_no_start() {
+fn start_waits_until_a_socket_can_be_created() {
     let (_site, config) = site();
     let faults = [(Knob::SocketErrno, errno::ENOBUFS), (Knob::SocketRate, 1000)];
     let (program, control) = program_with("no-socket", config, "", &faults);
@@ -252,16 +256,16 @@
     drop(connect(&program));
     let half = [wire::startup(&[("user", "portal")]), b"Q\0".to_vec()].concat();
     let hold = |_| {
-        let mut client = program.connect(PATIENCE);
+        let mut client = program.connect(STEP_TIMEOUT);
         client.write_all(&half).expect("the connection is open");
         client
     };
     let crowd: Vec<_> = (0..DESCRIPTORS).map(hold).collect();
-    program.until_logged("cannot accept connections", PATIENCE);
+    program.until_logged("cannot accept connections", STEP_TIMEOUT);
     program.signal("-HUP");
-    program.until_logged("Too many open files (os error 24)", PATIENCE);
+    program.until_logged("Too many open files (os error 24)", STEP_TIMEOUT);
     drop(crowd);
-    program.until_logged("configuration reread", PATIENCE);
+    program.until_logged("configuration reread", STEP_TIMEOUT);
 }
 
 /// A client connects and sends a request while accepting fails. The request's wait counts from then, so the
@@ -280,7 +284,7 @@
     control.set(Knob::AcceptRate, 1000).expect("the fault is configured");
     let within = |id: usize, ms: u64| read_of(id).replace("d=300000", &format!("d={ms}"));
     let mut client =
-        Client::open(program.addr, &[("user", "portal")], PATIENCE).expect("the client connects");
+        Client::open(program.addr, &[("user", "portal")], STEP_TIMEOUT).expect("the client connects");
     client.ask(&within(8, WAIT_MS)).expect("the connection is open");
     assert!(other.query(&within(7, PASSED_MS)).expect("an answer").code().is_some());
     control.set(Knob::AcceptRate, 0).expect("the fault is configured");
@@ -299,7 +303,7 @@
 /// One read or write of a socket in five fails for want of memory: the call is made again, and no connection
 /// is lost.
 #[test]
-fn want_of_memory_at_a_socket_loses_no_request() {
+fn out_of_memory_at_a_socket_loses_no_request() {
     const REQUESTS: usize = 200;
     let (_site, config) = site();
     for (name, number) in [("no-memory", errno::ENOMEM), ("no-buffers", errno::ENOBUFS)] {
@@ -320,7 +324,7 @@
 /// Connects that fail for a moment, for want of a buffer or a port, don't use up a request's attempts, as
 /// each once did.
 #[test]
-fn connect_that_fails_for_a_moment_uses_up_no_attempts() {
+fn transient_connect_failure_uses_up_no_attempts() {
     const MORE_THAN_ALL_ATTEMPTS: i64 = 20;
     let (_site, config) = site();
     for (name, number) in [("no-port", errno::EADDRNOTAVAIL), ("no-buffer", errno::ENOBUFS)] {
@@ -331,7 +335,7 @@
         client.ask(&read_of(1)).expect("the connection is open");
         let began = Instant::now();
         while control.get(Knob::Injected).expect("the shim's counter is readable") < MORE_THAN_ALL_ATTEMPTS {
-            assert!(began.elapsed() < PATIENCE, "no more connects are tried: {}", program.log());
+            assert!(began.elapsed() < STEP_TIMEOUT, "no more connects are tried: {}", program.log());
             thread::yield_now();
         }
         control.set(Knob::ConnectRate, 0).expect("the fault is configured");
--- a/crates/gradeshunt/tests/full_log.rs
+++ b/crates/gradeshunt/tests/full_log.rs
@@ -13,11 +13,11 @@
 use rustix::fs::{mkfifoat, open, Mode, OFlags, CWD};
 
 /// Timeout of a step in a failing test; a passing test never waits this long.
-const PATIENCE: Duration = Duration::from_secs(20);
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval between checks whether the process has exited.
-const LOOK: Duration = Duration::from_millis(2);
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 /// Bytes written at a time to fill a pipe.
-const FILLING: [u8; 4096] = [b'\n'; 4096];
+const FILL_CHUNK: [u8; 4096] = [b'\n'; 4096];
 
 /// A full pipe that is open for reading, but never read.
 struct FullPipe {
@@ -33,7 +33,7 @@
         let held = open(&path, OFlags::RDWR | OFlags::NONBLOCK | OFlags::CLOEXEC, Mode::empty());
         let mut held = File::from(held.expect("the pipe opens"));
         let full = loop {
-            if let Err(e) = held.write(&FILLING) {
+            if let Err(e) = held.write(&FILL_CHUNK) {
                 break e;
             }
         };
@@ -48,14 +48,14 @@
     }
 }
 
-/// Waits for a process to exit; returns its status, or `None` after [`PATIENCE`].
-fn end_of(program: &mut Standalone) -> Option<ExitStatus> {
+/// Waits for a process to exit; returns its status, or `None` after [`STEP_TIMEOUT`].
+fn wait_for_exit(program: &mut Standalone) -> Option<ExitStatus> {
     let since = Instant::now();
-    while since.elapsed() < PATIENCE {
+    while since.elapsed() < STEP_TIMEOUT {
         if let Some(status) = program.has_ended().expect("the process can be waited for") {
             return Some(status);
         }
-        thread::sleep(LOOK);
+        thread::sleep(EXIT_CHECK_INTERVAL);
     }
     program.has_ended().expect("the process can be waited for")
 }
@@ -75,12 +75,13 @@
         environment: Vec::new(),
     };
     let mut program = Standalone::start(start, |_| {}).expect("the process starts");
-    drop(program.connect(PATIENCE));
-    let mut client = Client::connect(program.addr, &[("user", "u")], PATIENCE).expect("the session starts");
+    drop(program.connect(STEP_TIMEOUT));
+    let mut client =
+        Client::connect(program.addr, &[("user", "u")], STEP_TIMEOUT).expect("the session starts");
     let read = "/* id=1,c=page-read,d=300000,cluster=1 */ SELECT data FROM facts WHERE code = '1'";
     assert_eq!(client.query(read).expect("an answer").code(), None);
     drop(client);
     program.signal("-TERM");
-    let ended = end_of(&mut program);
+    let ended = wait_for_exit(&mut program);
     assert!(ended.is_some_and(|status| status.success()), "{ended:?}");
 }
--- a/crates/gradeshunt/tests/plain.rs
+++ b/crates/gradeshunt/tests/plain.rs
@@ -15,21 +15,21 @@
 functions { reading: "turnout" }
 "#;
 
-struct Stage {
+struct Setup {
     site: Site,
     process: Process,
     platform: Platform,
     folder: PathBuf,
 }
 
-impl Drop for Stage {
+impl Drop for Setup {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Stage {
-    fn open(name: &str, rules: Option<&str>) -> Stage {
+impl Setup {
+    fn open(name: &str, rules: Option<&str>) -> Setup {
         let site = Site::open(Plan::default()).expect("a site");
         let folder =
             Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("plain-{name}-{}", std::process::id()));
@@ -43,7 +43,7 @@
         }
         let process = platform.start().expect("the process starts");
         process.ready().expect("the process serves");
-        Stage { site, process, platform, folder }
+        Setup { site, process, platform, folder }
     }
 
     fn client(&self) -> Client {
@@ -58,7 +58,7 @@
     }
 
     /// Adds a rule to the scripts of all db hosts.
-    fn everywhere(&self, rule: &Rule) {
+    fn script_all_hosts(&self, rule: &Rule) {
         (0..3).for_each(|n| self.site.sets[0].script(n, rule.clone()));
     }
 }
@@ -70,8 +70,8 @@
 /// Statements that may write reach only the primary, wherever in the statement the write is. Reads go to
 /// replicas unchanged.
 #[test]
-fn writes_reach_the_primary_alone() {
-    let stage = Stage::open("writes", Some(RULES));
+fn writes_reach_only_the_primary() {
+    let stage = Setup::open("writes", Some(RULES));
     let mut client = stage.client();
     let writes = [
         "SELECT record_vote(1)",
@@ -104,8 +104,8 @@
 
 /// A read sees what its own connection wrote before, however far replicas lag behind.
 #[test]
-fn own_writes_are_seen() {
-    let stage = Stage::open("own", Some(RULES));
+fn session_reads_its_own_writes() {
+    let stage = Setup::open("own", Some(RULES));
     (1..3).for_each(|n| stage.site.sets[0].set_lag(n, Duration::from_secs(3600)));
     let mut client = stage.client();
     for n in 0..20 {
@@ -119,16 +119,16 @@
 
 /// All messages of a result arrive in order, including notices, the row description and the command tag.
 #[test]
-fn whole_results_come_through() {
-    let stage = Stage::open("results", Some(RULES));
+fn whole_results_arrive() {
+    let stage = Setup::open("results", Some(RULES));
     let mut table = Table::of(&["station", "votes", "remark"], &[&["one", "17", "x"], &["two", "5", ""]]);
     table.rows[1][2] = None;
     table.notices = vec!["recounted".to_owned()];
-    stage.everywhere(&Rule::always("FROM tallies", Act::Answer(table.clone())));
-    stage.everywhere(&Rule::always("FROM nobody", Act::Answer(Table::of(&["station"], &[]))));
+    stage.script_all_hosts(&Rule::always("FROM tallies", Act::Answer(table.clone())));
+    stage.script_all_hosts(&Rule::always("FROM nobody", Act::Answer(Table::of(&["station"], &[]))));
     let silent = Table { tag: "VACUUM".to_owned(), ..Table::default() };
-    stage.everywhere(&Rule::always("VACUUM", Act::Answer(silent)));
-    stage.everywhere(&Rule::always(
+    stage.script_all_hosts(&Rule::always("VACUUM", Act::Answer(silent)));
+    stage.script_all_hosts(&Rule::always(
         "FROM typo",
         Act::Refuse { code: "42P01".to_owned(), text: "no such table".to_owned() },
     ));
@@ -154,11 +154,11 @@
 /// A result far larger than the program's buffers arrives whole, as fast as the client reads it. If it breaks
 /// off, the client gets an error and can't mistake it for a complete result.
 #[test]
-fn large_results_pass_at_the_readers_pace() {
-    let stage = Stage::open("large", Some(RULES));
+fn large_results_arrive_at_the_readers_pace() {
+    let stage = Setup::open("large", Some(RULES));
     let rows: Vec<_> = (0..20_000).map(|n| vec![Some(format!("{n:0>200}").into_bytes()), None]).collect();
     let table = Table { columns: vec!["a".to_owned(), "b".to_owned()], rows, ..Table::default() };
-    stage.everywhere(&Rule::always("FROM large", Act::Answer(table.clone())));
+    stage.script_all_hosts(&Rule::always("FROM large", Act::Answer(table.clone())));
     let mut client = stage.client();
     for _ in 0..3 {
         let reply = ask(&mut client, "SELECT * FROM large");
@@ -166,18 +166,18 @@
         assert!(reply.rows == table.rows && reply.tag.as_deref() == Some("SELECT 20000"));
     }
     stage.site.sets[0].clear_scripts();
-    stage.everywhere(&Rule::always("FROM large", Act::CutAfter(table, 2_000_000)));
+    stage.script_all_hosts(&Rule::always("FROM large", Act::CutAfter(table, 2_000_000)));
     assert!(client.query("SELECT * FROM large").is_err(), "the connection ends in the middle of the rows");
 }
 
 /// A plain write that may have run is never sent again: it has no idempotency key, so it could run twice.
 #[test]
 fn a_write_that_may_have_run_is_not_repeated() {
-    let stage = Stage::open("once", Some(RULES));
+    let stage = Setup::open("once", Some(RULES));
     // A read is safe to repeat and is sent again.
     (1..3).for_each(|n| stage.site.sets[0].script(n, Rule::once("SELECT 'again'", Act::ResetBefore)));
     assert_eq!(ask(&mut stage.client(), "SELECT 'again'").outcome_name(), "served");
-    stage.everywhere(&Rule::always("VALUES ('a'", Act::ResetAfter));
+    stage.script_all_hosts(&Rule::always("VALUES ('a'", Act::ResetAfter));
     let mut client = stage.client();
     let reply = ask(&mut client, "INSERT INTO facts (code, data) VALUES ('a', '1')");
     assert_eq!(reply.outcome_name(), "failed", "{reply:?}");
@@ -186,8 +186,8 @@
 
 /// A write whose routing comment names a reading class still goes to the primary.
 #[test]
-fn a_comment_that_says_less_does_not_count() {
-    let stage = Stage::open("less", Some(RULES));
+fn reading_class_in_a_comment_does_not_redirect_a_write() {
+    let stage = Setup::open("less", Some(RULES));
     let mut client = stage.client();
     let statement = "/* id=1,c=own-read,d=60000,cluster=1 */ SELECT record_vote('a')";
     assert_eq!(ask(&mut client, statement).outcome_name(), "served");
@@ -199,7 +199,7 @@
 /// On SIGHUP, an invalid rules file leaves the old rules in force, and a valid one replaces them.
 #[test]
 fn rules_are_reread() {
-    let mut stage = Stage::open("reread", Some(RULES));
+    let mut stage = Setup::open("reread", Some(RULES));
     let file = stage.folder.join("rules.textproto");
     std::fs::write(&file, RULES.replace("cluster: 1", "clutser: 1")).expect("a file");
     stage.process.signal("HUP").expect("the signal is sent");
@@ -215,18 +215,18 @@
 }
 
 #[test]
-fn without_rules_nothing_is_classed() {
-    let stage = Stage::open("none", None);
+fn without_rules_plain_statements_are_refused() {
+    let stage = Setup::open("none", None);
     assert_eq!(ask(&mut stage.client(), "SELECT 1").code(), Some("22023"));
     assert_eq!(stage.process.call("GET", "/shapes").expect("an answer").0, 404);
 }
 
 /// Gives replies the name of their outcome, in the categories of these tests.
-trait Named {
+trait OutcomeName {
     fn outcome_name(&self) -> &'static str;
 }
 
-impl Named for Reply {
+impl OutcomeName for Reply {
     fn outcome_name(&self) -> &'static str {
         use gradeshunt_stand_ins::checker::Outcome;
         match self.outcome() {
