--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -263,7 +263,7 @@
                 return Err(Unwritten::Denied(denial));
             }
             let Some(s) = self.servers.get_mut(&id) else { return Ok(()) };
-            match s.outbound.drain(&s.polled.socket) {
+            match s.outbound.write_to(&s.polled.socket) {
                 Ok(Transfer::Bytes(_)) => self.note_written(turn, exchange, id),
                 Ok(_) => return Ok(()),
                 // Still connecting.
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -332,7 +332,7 @@
                     }
                     Ending::Error if reply.may_be_copy => Said::Unclear,
                     Ending::Full if reply.error.is_some() => {
-                        Said::Refused { retry_after: pg::retry_after(&reply.bytes) }
+                        Said::Refused { retry_after: pg::parse_retry_after(&reply.bytes) }
                     }
                     // A spoilt answer says nothing: handed on, it would leave the client without a word.
                     Ending::Error if reply.error.is_some() => Said::Error(reply.bytes),
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -54,7 +54,7 @@
                 }
                 s.inbound.reserve(READ_SIZE);
             }
-            let moved = s.inbound.fill(&s.polled.socket);
+            let moved = s.inbound.read_from(&s.polled.socket);
             let end = match moved {
                 Ok(Transfer::Blocked) => return,
                 Ok(Transfer::Bytes(_)) => None,
--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -19,7 +19,7 @@
 use crate::deadlines::DeadlineKind;
 use crate::exchange::{AttemptId, Body, Call, Exchange, Form, Order};
 use crate::pg::Writer;
-use crate::turn::{Ready, Turn};
+use crate::turn::{ReadySources, Turn};
 
 /// Guards what the decisions learn of a host that has vanished: attempts there seldom live to see the connect
 /// time-out, and each that tells nothing is followed by another.
@@ -36,7 +36,7 @@
     exchange: Exchange,
     turn: Turn,
     host: TcpListener,
-    _poll: calloop::EventLoop<'static, Ready>,
+    _poll: calloop::EventLoop<'static, ReadySources>,
 }
 
 const MEMBER: MemberId = MemberId(0);
@@ -92,7 +92,7 @@
 
     /// Opens one whose configuration is edited.
     fn open_with(edit: impl Fn(&mut serde_json::Value)) -> Play {
-        let poll = calloop::EventLoop::<Ready>::try_new().expect("a poll");
+        let poll = calloop::EventLoop::<ReadySources>::try_new().expect("a poll");
         let mut turn = Turn::new(poll.handle(), slog::Logger::root(slog::Discard, slog::o!()));
         turn.now = 0;
         let config = std::fs::read_to_string("../../examples/config.json").expect("the example");
@@ -158,7 +158,7 @@
     /// So much time passes.
     fn pass(&mut self, time: Micros) {
         self.turn.now += time;
-        while let Some(due) = self.turn.deadlines.pop(self.turn.now) {
+        while let Some(due) = self.turn.deadlines.pop_expired(self.turn.now) {
             if let DeadlineKind::Server(id) = due {
                 self.backend.server_due(&mut self.turn, &mut self.exchange, id);
             }
@@ -217,7 +217,7 @@
     server.write_all(&Writer::default().ready().0).expect("it is open");
     while play.backend.servers.values().all(|s| s.polled.is_quiet()) {}
     play.turn.now += PATIENCE / 2;
-    while let Some(due) = play.turn.deadlines.pop(play.turn.now) {
+    while let Some(due) = play.turn.deadlines.pop_expired(play.turn.now) {
         if let DeadlineKind::Server(id) = due {
             play.backend.server_due(&mut play.turn, &mut play.exchange, id);
         }
--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -183,7 +183,8 @@
     pub fn ready(&mut self, turn: &mut Turn, id: CallerId) -> Option<Command> {
         loop {
             let c = self.callers.get_mut(&id)?;
-            let moved = c.outbound.drain(&c.polled.socket).and_then(|_| c.inbound.fill(&c.polled.socket));
+            let moved =
+                c.outbound.write_to(&c.polled.socket).and_then(|_| c.inbound.read_from(&c.polled.socket));
             match (moved, &c.stage) {
                 (Ok(Transfer::Blocked), Stage::Answered) if c.outbound.is_empty() => {
                     // An immediate close could reset the connection and destroy what the caller has yet to
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -15,7 +15,7 @@
 use crate::exchange::{Answer, Exchange, Order};
 use crate::loop_stats::LoopStats;
 use crate::placing::Placing;
-use crate::turn::{EventSource, Ready, Turn};
+use crate::turn::{EventSource, ReadySources, Turn};
 
 /// The control part of a proxy.
 pub struct Core {
@@ -70,7 +70,7 @@
     /// If the list of db hosts in the configuration can't be parsed.
     pub fn new(
         config: &mut Config,
-        event_loop: &EventLoop<'static, Ready>,
+        event_loop: &EventLoop<'static, ReadySources>,
         log: Logger,
     ) -> Result<Core, String> {
         let turn = Turn::new(event_loop.handle(), log);
--- a/crates/gradeshunt/src/cycle.rs
+++ b/crates/gradeshunt/src/cycle.rs
@@ -10,7 +10,7 @@
 use crate::control_core::Core;
 use crate::deadlines::DeadlineKind;
 use crate::transient::retry_while_transient;
-use crate::turn::{EventSource, Ready};
+use crate::turn::{EventSource, ReadySources};
 
 /// The handlers of ready sources and expired deadlines.
 pub trait Handlers {
@@ -18,16 +18,16 @@
     fn core(&mut self) -> &mut Core;
 
     /// Processes a source that has become ready.
-    fn event(&mut self, source: EventSource);
+    fn on_event(&mut self, source: EventSource);
 
     /// Processes an expired deadline.
-    fn due(&mut self, due: DeadlineKind);
+    fn on_deadline(&mut self, due: DeadlineKind);
 }
 
 /// The event loop of a proxy.
 pub struct ProxyLoop {
-    event_loop: EventLoop<'static, Ready>,
-    ready: Ready,
+    event_loop: EventLoop<'static, ReadySources>,
+    ready: ReadySources,
 }
 
 impl ProxyLoop {
@@ -39,11 +39,11 @@
     pub fn open() -> Result<ProxyLoop, String> {
         let event_loop =
             retry_while_transient(|| Ok(EventLoop::try_new()?)).map_err(|e| format!("cannot poll: {e}"))?;
-        Ok(ProxyLoop { event_loop, ready: Ready::new() })
+        Ok(ProxyLoop { event_loop, ready: ReadySources::new() })
     }
 
     /// The poll, to which the parts add their sources.
-    pub fn event_loop(&self) -> &EventLoop<'static, Ready> {
+    pub fn event_loop(&self) -> &EventLoop<'static, ReadySources> {
         &self.event_loop
     }
 
@@ -61,22 +61,22 @@
     /// # Errors
     ///
     /// If polling fails.
-    pub fn run_turn(&mut self, parts: &mut impl Handlers, wait: Option<Duration>) -> Result<(), String> {
-        let until = parts.core().turn.deadlines.next();
+    pub fn run_turn(&mut self, handlers: &mut impl Handlers, wait: Option<Duration>) -> Result<(), String> {
+        let until = handlers.core().turn.deadlines.next();
         self.event_loop.dispatch(wait, &mut self.ready).map_err(|e| format!("cannot poll: {e}"))?;
-        let mut sources = self.begin_turn(parts.core(), until);
+        let mut sources = self.begin_turn(handlers.core(), until);
         sources.sort_by_key(|source| source_order(*source));
         for source in sources {
-            parts.event(source);
-            record_processed(parts.core(), source.name());
+            handlers.on_event(source);
+            record_processed(handlers.core(), source.name());
         }
         loop {
-            let turn = &mut parts.core().turn;
-            let Some(due) = turn.deadlines.pop(turn.now) else { break };
-            parts.due(due);
-            record_processed(parts.core(), due.name());
+            let turn = &mut handlers.core().turn;
+            let Some(due) = turn.deadlines.pop_expired(turn.now) else { break };
+            handlers.on_deadline(due);
+            record_processed(handlers.core(), due.name());
         }
-        let core = parts.core();
+        let core = handlers.core();
         core.loop_stats.end(&core.turn.log);
         Ok(())
     }
--- a/crates/gradeshunt/src/cycle/tests.rs
+++ b/crates/gradeshunt/src/cycle/tests.rs
@@ -9,7 +9,7 @@
 use crate::config::Config;
 
 /// A processing time of a source beyond the slack of the remaining wait that is sent to a db host.
-const LONG: Micros = 60_000;
+const LONG_PROCESSING: Micros = 60_000;
 
 /// Parts that take long to process an operator's call and record the time when they process a file operation.
 struct Slow {
@@ -25,12 +25,12 @@
         &mut self.core
     }
 
-    fn event(&mut self, source: EventSource) {
+    fn on_event(&mut self, source: EventSource) {
         let turn = &self.core.turn;
         match source {
             EventSource::Control => {
                 let began = turn.clock.now();
-                while turn.clock.now() < began + LONG {}
+                while turn.clock.now() < began + LONG_PROCESSING {}
             }
             _ => {
                 self.behind = Some(turn.clock.now() - turn.now);
@@ -39,7 +39,7 @@
         }
     }
 
-    fn due(&mut self, _: DeadlineKind) {}
+    fn on_deadline(&mut self, _: DeadlineKind) {}
 }
 
 /// Requests at the end of a long turn use the current time and not that of the turn's start; otherwise their
@@ -50,10 +50,14 @@
         Config::load(Some(Path::new("../../examples/config.json"))).expect("the example is readable");
     let mut cycle = ProxyLoop::open().expect("a poll");
     let core = Core::new(&mut config, cycle.event_loop(), Logger::root(Discard, o!())).expect("a core");
-    let mut parts = Slow { core, behind: None, arrived: None };
-    parts.core.turn.unfinished = vec![EventSource::Control, EventSource::FileTask];
-    let began = parts.core.turn.clock.now();
-    cycle.run_turn(&mut parts, Some(Duration::ZERO)).expect("a turn");
-    assert!(parts.behind.is_some_and(|behind| behind < LONG), "{:?}", parts.behind);
-    assert!(parts.arrived.is_some_and(|arrived| arrived < began + LONG), "{:?}, {began}", parts.arrived);
+    let mut handlers = Slow { core, behind: None, arrived: None };
+    handlers.core.turn.unfinished = vec![EventSource::Control, EventSource::FileTask];
+    let began = handlers.core.turn.clock.now();
+    cycle.run_turn(&mut handlers, Some(Duration::ZERO)).expect("a turn");
+    assert!(handlers.behind.is_some_and(|behind| behind < LONG_PROCESSING), "{:?}", handlers.behind);
+    assert!(
+        handlers.arrived.is_some_and(|arrived| arrived < began + LONG_PROCESSING),
+        "{:?}, {began}",
+        handlers.arrived
+    );
 }
--- a/crates/gradeshunt/src/deadlines.rs
+++ b/crates/gradeshunt/src/deadlines.rs
@@ -104,7 +104,7 @@
     }
 
     /// Removes and returns the earliest deadline if it has expired.
-    pub fn pop(&mut self, now: Micros) -> Option<DeadlineKind> {
+    pub fn pop_expired(&mut self, now: Micros) -> Option<DeadlineKind> {
         let first = *self.0.first().filter(|d| d.0 <= now)?;
         self.0.remove(&first);
         Some(first.1)
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -207,8 +207,10 @@
     pub fn ready(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) {
         for _ in 0..READS {
             let Some(call) = self.calls.get_mut(&id) else { return };
-            let moved =
-                call.outbound.drain(&call.polled.socket).and_then(|_| call.inbound.fill(&call.polled.socket));
+            let moved = call
+                .outbound
+                .write_to(&call.polled.socket)
+                .and_then(|_| call.inbound.read_from(&call.polled.socket));
             let ended = match moved {
                 Ok(Transfer::Bytes(_)) => false,
                 Ok(Transfer::Blocked) => return,
--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -8,7 +8,7 @@
 use slog::{o, Discard, Logger};
 
 use super::*;
-use crate::turn::Ready;
+use crate::turn::ReadySources;
 
 const SILENCE: Micros = 3_000_000;
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -18,13 +18,13 @@
     discovery: Discovery,
     agent: TcpListener,
     news: Vec<News>,
-    _poll: EventLoop<'static, Ready>,
+    _poll: EventLoop<'static, ReadySources>,
 }
 
 impl Play {
     /// The proxy that has `at` as its turn among its fleet, with a watch that was opened at 0.
     fn open(at: f64, pushed: Option<Micros>) -> Play {
-        let poll = EventLoop::<Ready>::try_new().expect("a poll");
+        let poll = EventLoop::<ReadySources>::try_new().expect("a poll");
         let turn = Turn::new(poll.handle(), Logger::root(Discard, o!()));
         let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = agent.local_addr().expect("an address");
@@ -62,7 +62,7 @@
     fn next(&mut self) -> (Micros, DeadlineKind) {
         let at = self.turn.deadlines.next().expect("a deadline");
         self.turn.now = at;
-        let due = self.turn.deadlines.pop(at).expect("it is due");
+        let due = self.turn.deadlines.pop_expired(at).expect("it is due");
         match due {
             DeadlineKind::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
             DeadlineKind::ReopenWatch => self.discovery.reopen_due(&mut self.turn, &mut self.news),
@@ -202,7 +202,7 @@
         self.tell_failures();
         while self.latest_call() <= failed {
             let at = self.play.turn.deadlines.next().expect("a deadline");
-            match self.play.turn.deadlines.pop(at).expect("it is due") {
+            match self.play.turn.deadlines.pop_expired(at).expect("it is due") {
                 DeadlineKind::Module(tag) => {
                     self.play.turn.now = at;
                     self.decide(Event::Timer { tag });
--- a/crates/gradeshunt/src/exchange/tests.rs
+++ b/crates/gradeshunt/src/exchange/tests.rs
@@ -5,7 +5,7 @@
 use leadmast::*;
 
 use super::{AttemptId, AttemptTrace, Body, Call, ConnectionEnd, Ended, Exchange, Form, Order, Said};
-use crate::turn::{Ready, Turn};
+use crate::turn::{ReadySources, Turn};
 
 const GROUP: GroupId = GroupId(0);
 const DEADLINE: Micros = 1_000_000;
@@ -15,7 +15,7 @@
     exchange: Exchange,
     turn: Turn,
     first: AttemptId,
-    _poll: calloop::EventLoop<'static, Ready>,
+    _poll: calloop::EventLoop<'static, ReadySources>,
 }
 
 fn entry(number: u32) -> Entry {
@@ -45,7 +45,7 @@
 
     /// Opens one whose write has another effect than its class.
     fn open_with(effect: Option<Effect>) -> Play {
-        let poll = calloop::EventLoop::<Ready>::try_new().expect("a poll");
+        let poll = calloop::EventLoop::<ReadySources>::try_new().expect("a poll");
         let mut turn = Turn::new(poll.handle(), slog::Logger::root(slog::Discard, slog::o!()));
         turn.now = turn.clock.now();
         let config = std::fs::read_to_string("../../examples/config.json").expect("the example");
--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -81,7 +81,7 @@
     /// Clients closed to make room since the last summary, counted by eviction rank.
     evictions_by_rank: [u32; 6],
     /// Client connections that the proxy closed since its start, by reason.
-    pub closes: BTreeMap<&'static str, u64>,
+    pub close_counts: BTreeMap<&'static str, u64>,
     /// Whether the proxy has a list of db hosts yet.
     pub has_hosts: bool,
     /// Routes statements without a routing comment; `None` if no rules file is configured.
@@ -110,7 +110,7 @@
             service: ServiceState::Running,
             drain_deadline: None,
             evictions_by_rank: [0; 6],
-            closes: BTreeMap::new(),
+            close_counts: BTreeMap::new(),
             has_hosts: false,
             router: None,
             plain_statements: 0,
--- a/crates/gradeshunt/src/frontend/answers.rs
+++ b/crates/gradeshunt/src/frontend/answers.rs
@@ -31,9 +31,9 @@
 
     /// Reports the number of bytes that the client has not read yet, so that the server side continues a long
     /// answer only while there is room for it.
-    pub(super) fn report_unread(&self, exchange: &mut Exchange, id: SessionId, got: usize) {
+    pub(super) fn report_unread(&self, exchange: &mut Exchange, id: SessionId, received: usize) {
         if let Some(Session { stage: Stage::Waiting(request), outbound, .. }) = self.sessions.get(&id) {
-            exchange.unread(*request, got, outbound.len());
+            exchange.unread(*request, received, outbound.len());
         }
     }
 
--- a/crates/gradeshunt/src/frontend/closing.rs
+++ b/crates/gradeshunt/src/frontend/closing.rs
@@ -91,7 +91,7 @@
 impl Frontend {
     /// Counts and logs that the proxy closes a client's connection.
     pub(super) fn record_close(&mut self, turn: &Turn, id: SessionId, reason: CloseReason) {
-        *self.closes.entry(reason.name()).or_default() += 1;
+        *self.close_counts.entry(reason.name()).or_default() += 1;
         debug!(turn.log, "client closed"; "why" => reason.name(), "session" => id.0);
     }
 
--- a/crates/gradeshunt/src/frontend/eviction.rs
+++ b/crates/gradeshunt/src/frontend/eviction.rs
@@ -22,7 +22,8 @@
 /// A client whose session has started but that has sent no request is evicted last until it has been
 /// connected this long.
 const NEW_SESSION_PERIOD: Micros = 500_000;
-/// A client that has been idle this long is closed while more than an eighth of the maximum are open.
+/// A client that has been idle this long expects to be closed, and is while more than an eighth of the
+/// maximum are open.
 const IDLE_LIMIT: Micros = 2_000_000;
 /// Interval between scans for idle clients.
 const IDLE_SCAN_INTERVAL: Micros = 50_000;
@@ -93,7 +94,8 @@
         // Closes only as many as are open beyond two fifths of the maximum, the longest idle first, because
         // the client may send a request at the same moment.
         let excess = open.saturating_sub(self.max_clients * 2 / 5);
-        // The fuller the proxy, the sooner idle clients are closed.
+        // The fuller the proxy, the sooner idle clients are closed: their side has a limited number of
+        // connections as well.
         let idle_limit = if open > self.max_clients * 3 / 5 { RECENT_ACTIVITY } else { CROWDED_IDLE_LIMIT };
         let idle = self.sessions.iter().filter_map(|(id, s)| {
             let limit = match s.stage {
@@ -151,13 +153,13 @@
 
 /// Returns the order in which clients are closed to make room, 0 first, or `None` if the client must not be
 /// closed. First are closing clients that have their last answer, then clients that took longer than
-/// [`FIRST_REQUEST_LIMIT`] over their first request. Next are clients that have had an answer, for whom a close costs
-/// no more than a new connection. Then come clients that have been sending a first request for long, because
-/// most clients that never complete one are among them; the newest clients come last.
-pub(super) fn eviction_rank(stage: &Stage, asked: bool, empty: bool, age: Micros) -> Option<usize> {
+/// [`FIRST_REQUEST_LIMIT`] over their first request. Next are clients that have had an answer, for whom a
+/// close costs no more than a new connection. Then come clients that have been sending a first request for
+/// long, because most clients that never complete one are among them; the newest clients come last.
+pub(super) fn eviction_rank(stage: &Stage, has_sent_query: bool, empty: bool, age: Micros) -> Option<usize> {
     match stage {
         Stage::Lingering => Some(0),
-        Stage::Startup | Stage::Ready if !asked => {
+        Stage::Startup | Stage::Ready if !has_sent_query => {
             // A client that has sent its startup message is likely to send a request and gets more time for
             // it.
             let started = matches!(stage, Stage::Ready);
--- a/crates/gradeshunt/src/frontend/listener.rs
+++ b/crates/gradeshunt/src/frontend/listener.rs
@@ -33,7 +33,7 @@
     /// More may be waiting.
     More,
     /// Accepting the next connection failed, for example for want of a descriptor.
-    Stuck,
+    Failed,
 }
 
 impl Frontend {
@@ -57,19 +57,20 @@
 
     /// Accepts connections of clients.
     pub fn accept(&mut self, turn: &mut Turn) {
-        if self.accept_some(turn, Source::Client) == Backlog::More {
+        if self.accept_from(turn, Source::Client) == Backlog::More {
             turn.unfinished.push(EventSource::Listener);
         }
     }
 
     /// Accepts connections of other proxies.
     pub fn accept_peers(&mut self, turn: &mut Turn) {
-        if self.accept_some(turn, Source::Proxy) == Backlog::More {
+        if self.accept_from(turn, Source::Proxy) == Backlog::More {
             turn.unfinished.push(EventSource::PeerListener);
         }
     }
 
-    fn accept_some(&mut self, turn: &mut Turn, from: Source) -> Backlog {
+    /// Accepts a limited number of connections from one of the listeners.
+    fn accept_from(&mut self, turn: &mut Turn, from: Source) -> Backlog {
         for _ in 0..ACCEPTS_PER_TURN {
             let (listener, retry) = match from {
                 Source::Client => (&self.listener, DeadlineKind::RetryAccept),
@@ -96,10 +97,11 @@
                         if failure == AcceptFailure::Descriptors {
                             self.evict_one(turn);
                         }
-                        // The waiting connections are known to have waited since now at the latest.
+                        // As far as is known, the waiting connections have been waiting since this turn's
+                        // input may have arrived.
                         self.backlog_since[backlog].get_or_insert(turn.now - turn.unread_for);
                         turn.deadlines.set(turn.now + ACCEPT_RETRY, retry);
-                        return Backlog::Stuck;
+                        return Backlog::Failed;
                     }
                 },
             }
@@ -150,19 +152,19 @@
     }
 
     /// Stops accepting after SIGTERM and starts to close clients between requests. If another process has
-    /// taken over (`succeeded`), connections in the backlog are left to it; the two share the socket, so it
-    /// must not be shut down.
-    pub fn close_listener(&mut self, turn: &mut Turn, exchange: &mut Exchange, succeeded: bool) {
+    /// taken over (`has_successor`), connections in the backlog are left to it; the two share the socket, so
+    /// it must not be shut down.
+    pub fn close_listener(&mut self, turn: &mut Turn, exchange: &mut Exchange, has_successor: bool) {
         // Without a successor, connections that the kernel has already accepted are still served.
         let backlog = std::iter::repeat_with(|| {
-            if succeeded {
+            if has_successor {
                 Backlog::Empty
             } else {
-                self.accept_some(turn, Source::Client)
+                self.accept_from(turn, Source::Client)
             }
         })
         .find(|b| *b != Backlog::More);
-        if backlog == Some(Backlog::Stuck) {
+        if backlog == Some(Backlog::Failed) {
             // Closing the socket would reset the waiting connections. Clients that disconnect make room for
             // them, so the close is retried later.
             turn.deadlines.set(turn.now + ACCEPT_RETRY, DeadlineKind::CloseListener);
--- a/crates/gradeshunt/src/frontend/messages.rs
+++ b/crates/gradeshunt/src/frontend/messages.rs
@@ -16,7 +16,7 @@
 use crate::turn::{EventSource, Turn};
 
 /// The process ID (of BackendKeyData) that identifies a session in a cancel request.
-fn process_of(id: SessionId) -> u32 {
+fn process_id(id: SessionId) -> u32 {
     id.0 as u32
 }
 
@@ -116,7 +116,7 @@
                 s.stage = Stage::Ready;
                 let fits = s
                     .outbound
-                    .push(&w.startup_reply(process_of(id), self.secret_hasher.hash_one(id) as u32).0);
+                    .push(&w.startup_reply(process_id(id), self.secret_hasher.hash_one(id) as u32).0);
                 self.set_due(turn, id, None);
                 Ok(fits)
             }
@@ -127,7 +127,7 @@
     /// is one.
     fn cancel(&mut self, turn: &mut Turn, exchange: &mut Exchange, process: u32, secret: u32) {
         let has_key =
-            |id: &SessionId| process_of(*id) == process && self.secret_hasher.hash_one(*id) as u32 == secret;
+            |id: &SessionId| process_id(*id) == process && self.secret_hasher.hash_one(*id) as u32 == secret;
         let session = self.sessions.iter().find(|(id, _)| has_key(id)).map(|(_, s)| &s.stage);
         if let Some(Stage::Waiting(request)) = session {
             exchange.cancel(turn, *request);
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -165,7 +165,7 @@
         let Some(s) = self.sessions.get_mut(&id) else { return };
         let mut moved = false;
         loop {
-            match s.outbound.drain(&s.polled.socket) {
+            match s.outbound.write_to(&s.polled.socket) {
                 Ok(Transfer::Bytes(_)) => moved = true,
                 Ok(_) => break,
                 Err(_) => {
--- a/crates/gradeshunt/src/frontend/statements.rs
+++ b/crates/gradeshunt/src/frontend/statements.rs
@@ -87,7 +87,7 @@
         let wait = (Micros::from(c.wait_ms) * 1000).min(self.settings.classes[class.0].deadline);
         let deadline = self.deadline(arrived, wait);
         let id = Rc::from(c.id);
-        let (repeat, wait_at) = (c.repeat, c.wait_at);
+        let (repeat, wait_at) = (c.repeat, c.wait_span);
         let tenant = c.tenant.and_then(|t| self.names.tenant(t));
         debug!(turn.log, "request"; "class" => class.0, "wait_ms" => c.wait_ms);
         let body = Body::new(text, Some(wait_at), Form::Value);
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -13,7 +13,7 @@
 use crate::ids::SessionId;
 use crate::pg::{Writer, MAX_BUFFERED_ANSWER};
 use crate::ring::MAX_RING_SIZE;
-use crate::turn::{Ready, Turn};
+use crate::turn::{ReadySources, Turn};
 
 /// Slow clients are not evicted early when many clients are open: they may take 2 s to send a request, and
 /// clients that already had an answer are evicted first.
@@ -45,8 +45,9 @@
 }
 
 /// Sets up a client side with one client on a real connection; the test sets the clock.
-fn one_client() -> (Frontend, Turn, TcpStream, SessionId, calloop::EventLoop<'static, Ready>) {
-    let poll = calloop::EventLoop::<Ready>::try_new().expect("a poll");
+fn frontend_with_one_client(
+) -> (Frontend, Turn, TcpStream, SessionId, calloop::EventLoop<'static, ReadySources>) {
+    let poll = calloop::EventLoop::<ReadySources>::try_new().expect("a poll");
     let mut turn = Turn::new(poll.handle(), slog::Logger::root(slog::Discard, slog::o!()));
     turn.now = 0;
     let config = std::fs::read_to_string("../../examples/config.json").expect("the example file is readable");
@@ -69,7 +70,7 @@
 /// one that stops reading is closed at the deadline.
 #[test]
 fn slow_client_gets_its_whole_last_answer() {
-    let (mut frontend, mut turn, mut client, id, _poll) = one_client();
+    let (mut frontend, mut turn, mut client, id, _poll) = frontend_with_one_client();
     // Small socket buffers, so that the answer takes many rounds.
     let socket = &frontend.sessions[&id].polled.socket;
     socket2::SockRef::from(&**socket).set_send_buffer_size(32 * 1024).expect("the buffer size can be set");
@@ -104,7 +105,7 @@
     }
     assert_eq!((read, client.read(&mut piece).expect("the end of the stream, not a reset")), (sent, 0));
 
-    let (mut frontend, mut turn, _client, id, _poll) = one_client();
+    let (mut frontend, mut turn, _client, id, _poll) = frontend_with_one_client();
     while frontend.sessions[&id].outbound.is_empty() {
         let s = frontend.sessions.get_mut(&id).expect("the connection is open");
         assert!(s.outbound.push(&[b'x'; MAX_BUFFERED_ANSWER]));
@@ -120,13 +121,13 @@
 /// down its socket in every turn would keep the loop busy for ever.
 #[test]
 fn closed_client_that_rests_wakes_nobody() {
-    let (mut frontend, mut turn, mut client, id, mut poll) = one_client();
+    let (mut frontend, mut turn, mut client, id, mut poll) = frontend_with_one_client();
     let mut exchange = Exchange::new(frontend.settings.clone(), Vec::new(), 7, 0);
     frontend.close_with(&mut turn, id, Writer::default(), CloseReason::Idle);
     assert_eq!(client.read(&mut [0]).expect("a close"), 0);
     let mut woken = 0;
     loop {
-        let mut ready = Ready::new();
+        let mut ready = ReadySources::new();
         poll.dispatch(Some(std::time::Duration::ZERO), &mut ready).expect("the poll works");
         if ready.is_empty() {
             break;
@@ -137,7 +138,7 @@
     }
     assert!(matches!(frontend.sessions[&id].stage, Stage::Lingering));
     drop(client);
-    let mut ready = Ready::new();
+    let mut ready = ReadySources::new();
     poll.dispatch(None, &mut ready).expect("the poll works");
     frontend.ready(&mut turn, &mut exchange, id);
     assert!(frontend.sessions.is_empty(), "the session closes after the client");
@@ -148,11 +149,11 @@
 #[test]
 fn request_that_crosses_a_close_is_not_read() {
     for reason in [CloseReason::Draining, CloseReason::Idle] {
-        let (mut frontend, mut turn, mut client, id, _poll) = one_client();
+        let (mut frontend, mut turn, mut client, id, _poll) = frontend_with_one_client();
         let mut exchange = Exchange::new(frontend.settings.clone(), Vec::new(), 7, 0);
         frontend.close_with(&mut turn, id, Writer::default(), reason);
         assert_eq!(client.read(&mut [0]).expect("a close"), 0);
-        client.write_all(&read_of(1, 1_000)).expect("the connection is still open for writing");
+        client.write_all(&read_query(1, 1_000)).expect("the connection is still open for writing");
         while frontend.sessions[&id].polled.is_quiet() {}
         frontend.ready(&mut turn, &mut exchange, id);
         assert!(!frontend.sessions[&id].polled.is_quiet(), "the request was read");
@@ -164,7 +165,7 @@
 }
 
 /// The bytes of a read query that waits `wait_ms` at most.
-fn read_of(number: usize, wait_ms: u32) -> Vec<u8> {
+fn read_query(number: usize, wait_ms: u32) -> Vec<u8> {
     let statement = format!(
         "/* id={number},c=page-read,d={wait_ms},cluster=1 */ SELECT data FROM facts WHERE code = '{number:x}'"
     );
@@ -178,16 +179,16 @@
     exchange: Exchange,
     client: TcpStream,
     id: SessionId,
-    _poll: calloop::EventLoop<'static, Ready>,
+    _poll: calloop::EventLoop<'static, ReadySources>,
 }
 
 impl Pipeline {
     fn begin() -> Pipeline {
-        let (frontend, turn, client, id, poll) = one_client();
+        let (frontend, turn, client, id, poll) = frontend_with_one_client();
         let exchange = Exchange::new(frontend.settings.clone(), Vec::new(), 7, 0);
         let mut pipeline = Pipeline { frontend, turn, exchange, client, id, _poll: poll };
         pipeline.send(0, &Writer::default().startup("portal", "crm", None).0);
-        pipeline.send(0, &read_of(0, 1_200));
+        pipeline.send(0, &read_query(0, 1_200));
         assert!(matches!(pipeline.frontend.sessions[&id].stage, Stage::Waiting(RequestId(0))));
         pipeline
     }
@@ -203,7 +204,7 @@
 
     /// Answers the first request at `at` and processes the requests behind it. Returns how many of those had
     /// expired.
-    fn expired(&mut self, at: Micros) -> u64 {
+    fn count_expired(&mut self, at: Micros) -> u64 {
         self.turn.now = at;
         self.frontend.answer(&mut self.turn, &mut self.exchange, RequestId(0), Final::Failed(None));
         loop {
@@ -224,34 +225,34 @@
 
 /// Returns how many of the requests that `prepare` sends have expired if the request before them is answered
 /// at `at`.
-fn expired_at(at: Micros, prepare: impl Fn(&mut Pipeline)) -> u64 {
+fn count_expired_at(at: Micros, prepare: impl Fn(&mut Pipeline)) -> u64 {
     let mut pipeline = Pipeline::begin();
     prepare(&mut pipeline);
-    pipeline.expired(at)
+    pipeline.count_expired(at)
 }
 
 /// The wait of a request that arrives in pieces counts from its last byte.
 #[test]
 fn wait_counts_from_the_last_byte() {
     let pieces = |pipeline: &mut Pipeline| {
-        let bytes = read_of(1, 100);
+        let bytes = read_query(1, 100);
         let (first, last) = bytes.split_at(30);
         pipeline.send(10_000, first);
         pipeline.send(50_000, last);
     };
-    assert_eq!(expired_at(149_999, pieces), 0);
-    assert_eq!(expired_at(150_000, pieces), 1);
+    assert_eq!(count_expired_at(149_999, pieces), 0);
+    assert_eq!(count_expired_at(150_000, pieces), 1);
 }
 
 /// Pipelined requests that arrive in one read expire while they queue behind a request that takes long.
 #[test]
 fn pipelined_requests_expire_behind_a_long_request() {
     let ten = |pipeline: &mut Pipeline| {
-        let bytes: Vec<u8> = (1..=10).flat_map(|number| read_of(number, 100)).collect();
+        let bytes: Vec<u8> = (1..=10).flat_map(|number| read_query(number, 100)).collect();
         pipeline.send(10_000, &bytes);
     };
-    assert_eq!(expired_at(109_999, ten), 0);
-    assert_eq!(expired_at(110_000, ten), 10);
+    assert_eq!(count_expired_at(109_999, ten), 0);
+    assert_eq!(count_expired_at(110_000, ten), 10);
 }
 
 /// The wait of a request that stayed in the socket while the client's ring was full counts from its arrival
@@ -269,10 +270,10 @@
             }
         }
         assert!(pipeline.frontend.sessions[&pipeline.id].inbound.is_full());
-        pipeline.send(50_000, &read_of(1, 100));
+        pipeline.send(50_000, &read_query(1, 100));
     };
-    assert_eq!(expired_at(149_999, behind_a_full_ring), 0);
-    assert_eq!(expired_at(150_000, behind_a_full_ring), 1);
+    assert_eq!(count_expired_at(149_999, behind_a_full_ring), 0);
+    assert_eq!(count_expired_at(150_000, behind_a_full_ring), 1);
 }
 
 /// No request is held beyond the drain deadline, and one that arrives later is refused at once.
@@ -280,33 +281,33 @@
 fn drain_deadline_bounds_the_wait() {
     let before = |pipeline: &mut Pipeline| {
         pipeline.frontend.set_drain_deadline(100_000);
-        pipeline.send(50_000, &read_of(1, 1_000));
+        pipeline.send(50_000, &read_query(1, 1_000));
     };
-    assert_eq!(expired_at(99_999, before), 0);
-    assert_eq!(expired_at(100_000, before), 1);
+    assert_eq!(count_expired_at(99_999, before), 0);
+    assert_eq!(count_expired_at(100_000, before), 1);
     let after = |pipeline: &mut Pipeline| {
         pipeline.frontend.set_drain_deadline(100_000);
-        pipeline.send(120_000, &read_of(1, 1_000));
+        pipeline.send(120_000, &read_query(1, 1_000));
     };
-    assert_eq!(expired_at(120_001, after), 1);
+    assert_eq!(count_expired_at(120_001, after), 1);
 }
 
 /// Pipelined requests of a client that has disconnected are dropped unprocessed.
 #[test]
 fn pipeline_of_a_client_that_left_is_dropped() {
     let mut pipeline = Pipeline::begin();
-    pipeline.send(10_000, &read_of(1, 100));
+    pipeline.send(10_000, &read_query(1, 100));
     pipeline.client.shutdown(Shutdown::Both).expect("the connection is open");
     while !pipeline.frontend.sessions[&pipeline.id].polled.has_hung_up() {}
     pipeline.frontend.ready(&mut pipeline.turn, &mut pipeline.exchange, pipeline.id);
     assert!(pipeline.frontend.sessions.is_empty() && pipeline.frontend.owners.is_empty());
     assert!(pipeline.exchange.is_idle() && pipeline.exchange.answers.is_empty());
-    let next = pipeline.exchange.submit(&mut pipeline.turn, call_of(10_000));
+    let next = pipeline.exchange.submit(&mut pipeline.turn, call_with_deadline(10_000));
     assert_eq!(next, RequestId(1), "the second request was never submitted");
 }
 
 /// A request whose wait ends at `deadline`.
-fn call_of(deadline: Micros) -> Call {
+fn call_with_deadline(deadline: Micros) -> Call {
     Call {
         class: leadmast::ClassId(0),
         group: GroupId(1),
@@ -327,8 +328,8 @@
 fn incomplete_message_is_bounded_from_its_first_byte() {
     const STOPPED: Micros = 10_000;
     let mut pipeline = Pipeline::begin();
-    pipeline.send(STOPPED, &read_of(1, 1_000)[..30]);
-    pipeline.expired(1_100_000);
+    pipeline.send(STOPPED, &read_query(1, 1_000)[..30]);
+    pipeline.count_expired(1_100_000);
     let due = pipeline.frontend.sessions[&pipeline.id].due.expect("the session has a deadline");
     assert_eq!(due, STOPPED + super::session::MESSAGE_TIMEOUT);
 }
--- a/crates/gradeshunt/src/pg.rs
+++ b/crates/gradeshunt/src/pg.rs
@@ -306,7 +306,7 @@
 
 /// Returns the time after which a refused request may be sent again: the integer milliseconds in the detail
 /// field of an ErrorResponse, if it holds any.
-pub fn retry_after(error: &[u8]) -> Option<Micros> {
+pub fn parse_retry_after(error: &[u8]) -> Option<Micros> {
     let fields = error.get(5..)?.split(|b| *b == 0);
     let detail = fields.filter_map(|f| f.strip_prefix(b"D")).next()?;
     let ms: u32 = std::str::from_utf8(detail).ok()?.parse().ok()?;
@@ -326,7 +326,7 @@
     /// How long the client waits at most, in milliseconds.
     pub wait_ms: u32,
     /// The bytes of the statement that hold the digits of `wait_ms`.
-    pub wait_at: Range<usize>,
+    pub wait_span: Range<usize>,
     /// Whether the client sends this request again.
     pub repeat: bool,
     /// The number of the group of db hosts.
@@ -369,7 +369,7 @@
     let id = id.ok_or("the routing comment has no usable id")?;
     let class = class.ok_or("the routing comment has no c")?;
     let cluster = cluster.ok_or("the routing comment has no cluster")?;
-    Ok(RoutingComment { id, has_key, class, tenant, wait_ms, wait_at, repeat, cluster, after })
+    Ok(RoutingComment { id, has_key, class, tenant, wait_ms, wait_span: wait_at, repeat, cluster, after })
 }
 
 /// Returns the first quoted literal after the comment; it identifies the session.
--- a/crates/gradeshunt/src/pg/tests.rs
+++ b/crates/gradeshunt/src/pg/tests.rs
@@ -9,7 +9,7 @@
     let s =
         "/* id=9b,c=own-read,d=480,k=5c,cluster=2,after=17,r=1 */ SELECT data FROM facts WHERE code = 'ab'";
     let c = parse_routing_comment(s).expect("a comment");
-    assert_eq!((&s[c.wait_at.clone()], c.wait_ms), ("480", 480));
+    assert_eq!((&s[c.wait_span.clone()], c.wait_ms), ("480", 480));
     assert_eq!((c.class, c.cluster, c.after, c.repeat), ("own-read", 2, Some(17), true));
     assert_eq!(first_literal(s), Some("ab"));
 }
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -26,7 +26,7 @@
 use crate::shared::worker::{Wake, Worker};
 use crate::shared::{self, Shared};
 use crate::transient::retry_while_transient;
-use crate::turn::{self, EventSource, Ready};
+use crate::turn::{self, EventSource, ReadySources};
 
 const SUMMARY: Micros = 10_000_000;
 /// Interval of the looks at what the processes of this proxy share.
@@ -83,7 +83,7 @@
     pub fn new(
         config: Config,
         file: Option<PathBuf>,
-        event_loop: &EventLoop<'static, Ready>,
+        event_loop: &EventLoop<'static, ReadySources>,
         log: Logger,
     ) -> Result<Proxy, String> {
         let (ping, pinged) =
@@ -99,7 +99,7 @@
     fn with_waker(
         mut config: Config,
         file: Option<PathBuf>,
-        event_loop: &EventLoop<'static, Ready>,
+        event_loop: &EventLoop<'static, ReadySources>,
         log: Logger,
         waker: impl Wake + 'static,
     ) -> Result<Proxy, String> {
@@ -246,7 +246,7 @@
         &mut self.core
     }
 
-    fn event(&mut self, source: EventSource) {
+    fn on_event(&mut self, source: EventSource) {
         self.core.event(source);
         let (turn, exchange) = (&mut self.core.turn, &mut self.core.exchange);
         match source {
@@ -264,7 +264,7 @@
         self.settle();
     }
 
-    fn due(&mut self, due: DeadlineKind) {
+    fn on_deadline(&mut self, due: DeadlineKind) {
         self.core.due(due);
         let (turn, exchange) = (&mut self.core.turn, &mut self.core.exchange);
         match due {
--- a/crates/gradeshunt/src/proxy/operators.rs
+++ b/crates/gradeshunt/src/proxy/operators.rs
@@ -35,7 +35,7 @@
             control::Command::Status => Response::new(503, "starting\n"),
             control::Command::Metrics => {
                 let mut figures = exchange.figures();
-                figures.closes = self.frontend.closes.clone();
+                figures.closes = self.frontend.close_counts.clone();
                 let figures = control::exposition(&figures, &self.classes, &self.tenants);
                 let placement = exchange.placing.as_ref().map(Placing::metrics).unwrap_or_default();
                 Response::new(200, figures + &placement)
--- a/crates/gradeshunt/src/proxy/tests.rs
+++ b/crates/gradeshunt/src/proxy/tests.rs
@@ -55,7 +55,7 @@
     let mut proxy = proxy.expect("its sockets");
     turn_until_connected(&mut cycle, &mut proxy, &first);
     write_config(&file, second.local_addr().expect("an address"));
-    proxy.event(EventSource::Reload);
+    proxy.on_event(EventSource::Reload);
     turn_until_connected(&mut cycle, &mut proxy, &second);
     std::fs::remove_file(&file).expect("it is there");
 }
--- a/crates/gradeshunt/src/ring.rs
+++ b/crates/gradeshunt/src/ring.rs
@@ -90,7 +90,7 @@
     }
 
     /// Reads once from the socket into the free space.
-    pub fn fill(&mut self, mut socket: &TcpStream) -> io::Result<Transfer> {
+    pub fn read_from(&mut self, mut socket: &TcpStream) -> io::Result<Transfer> {
         if self.is_full() {
             return Ok(Transfer::Blocked);
         }
@@ -110,7 +110,7 @@
     }
 
     /// Writes once to the socket.
-    pub fn drain(&mut self, mut socket: &TcpStream) -> io::Result<Transfer> {
+    pub fn write_to(&mut self, mut socket: &TcpStream) -> io::Result<Transfer> {
         if self.len == 0 {
             return Ok(Transfer::Blocked);
         }
--- a/crates/gradeshunt/src/routing/mod.rs
+++ b/crates/gradeshunt/src/routing/mod.rs
@@ -37,14 +37,15 @@
 impl Match {
     /// Whether a statement of this origin and verdict fulfils all conditions.
     pub fn accepts(&self, origin: &Origin, verdict: &Verdict) -> bool {
-        let among = |list: &[String], it: &String| list.is_empty() || list.contains(it);
-        let any = |list: &[String], of: &[String]| list.is_empty() || of.iter().any(|it| list.contains(it));
+        let allows = |list: &[String], item: &String| list.is_empty() || list.contains(item);
+        let allows_any =
+            |list: &[String], items: &[String]| list.is_empty() || items.iter().any(|i| list.contains(i));
         (self.access.is_empty() || self.access.contains(&verdict.access))
-            && any(&self.tables, &verdict.tables)
-            && any(&self.functions, &verdict.functions)
-            && among(&self.users, &origin.user)
-            && among(&self.databases, &origin.database)
-            && among(&self.applications, &origin.application_name)
+            && allows_any(&self.tables, &verdict.tables)
+            && allows_any(&self.functions, &verdict.functions)
+            && allows(&self.users, &origin.user)
+            && allows(&self.databases, &origin.database)
+            && allows(&self.applications, &origin.application_name)
             && verdict.cost >= self.cost_from
             && self.cost_below.is_none_or(|below| verdict.cost < below)
     }
--- a/crates/gradeshunt/src/run.rs
+++ b/crates/gradeshunt/src/run.rs
@@ -16,7 +16,7 @@
 use crate::proxy::Proxy;
 use crate::resumed::Resumed;
 use crate::transient::retry_while_transient;
-use crate::turn::{EventSource, Ready};
+use crate::turn::{EventSource, ReadySources};
 
 /// The status of `gradeshunt plan` where a loss is not borne.
 const NOT_BORNE: u8 = 3;
@@ -42,7 +42,7 @@
     let config = Config::load(file.as_deref())?;
     let cycle = ProxyLoop::open()?;
     let handle = cycle.event_loop().handle();
-    let told = handle.insert_source(Resumed(signals), move |event, (), ready: &mut Ready| {
+    let told = handle.insert_source(Resumed(signals), move |event, (), ready: &mut ReadySources| {
         let reload = event.signal() == Signal::SIGHUP;
         ready.push(if reload { EventSource::Reload } else { EventSource::Terminate });
     });
--- a/crates/gradeshunt/src/turn.rs
+++ b/crates/gradeshunt/src/turn.rs
@@ -59,7 +59,7 @@
 
 /// The ready sources that the poll's callbacks collect. The turn processes them afterwards, so that no part
 /// is re-entered.
-pub type Ready = Vec<EventSource>;
+pub type ReadySources = Vec<EventSource>;
 
 /// The shared context of a turn.
 pub struct Turn {
@@ -73,11 +73,11 @@
     pub log: Logger,
     /// Sources with more work than one turn allows; they are processed first in the next turn.
     pub unfinished: Vec<EventSource>,
-    handle: LoopHandle<'static, Ready>,
+    handle: LoopHandle<'static, ReadySources>,
 }
 
 impl Turn {
-    pub fn new(handle: LoopHandle<'static, Ready>, log: Logger) -> Self {
+    pub fn new(handle: LoopHandle<'static, ReadySources>, log: Logger) -> Self {
         let clock = Clock::start();
         Turn {
             now: clock.now(),
@@ -97,7 +97,7 @@
         source: EventSource,
     ) -> std::io::Result<RegistrationToken> {
         let watched = Generic::new(Rc::clone(socket), Interest::BOTH, Mode::Edge);
-        let token = self.handle.insert_source(watched, move |_, _, ready: &mut Ready| {
+        let token = self.handle.insert_source(watched, move |_, _, ready: &mut ReadySources| {
             ready.push(source);
             Ok(PostAction::Continue)
         });
--- a/crates/measure/src/capacity/hollow.rs
+++ b/crates/measure/src/capacity/hollow.rs
@@ -85,12 +85,12 @@
         &mut self.core
     }
 
-    fn event(&mut self, source: EventSource) {
+    fn on_event(&mut self, source: EventSource) {
         self.core.event(source);
         self.settle();
     }
 
-    fn due(&mut self, due: DeadlineKind) {
+    fn on_deadline(&mut self, due: DeadlineKind) {
         self.core.due(due);
         self.settle();
     }
