--- a/crates/gradeshunt/src/discovery/answer.rs
+++ b/crates/gradeshunt/src/discovery/answer.rs
@@ -1,59 +1,60 @@
-//! Reads discovery's HTTP answers, in pieces that may be split anywhere. No I/O, no clock.
+//! Parses discovery's HTTP responses, which may be split anywhere. No I/O, no clock.
 
 use crate::ring::Ring;
 
-/// Longest line or list taken: some 10,000 db hosts. With what is made of it that is a part of the 48 MB that the
-/// process may have.
+/// Longest line or list accepted: some 10,000 db hosts. Together with what is parsed from it, it takes only
+/// part of the 48 MB that the process may use.
 const LONGEST: usize = 2 * 1024 * 1024;
-/// Where a call's answer stands.
+/// The part of the response that is parsed next.
 enum Part {
     Head,
-    /// Before a chunk's size line.
+    /// The size line of a chunk.
     ChunkSize,
-    /// So much of a chunk is to come.
+    /// A chunk of which this many bytes are missing.
     Chunk(usize),
-    /// The line end behind a chunk.
+    /// The line end after a chunk.
     ChunkEnd,
-    /// So much of a plain body is to come.
+    /// A body with Content-Length of which this many bytes are missing.
     Plain(usize),
     /// A body that ends with the connection.
     UntilEnd,
     Done,
 }
 
-/// What a call has been answered so far.
+/// The response to a call, as far as it was received.
 pub struct Answer {
     watch: bool,
     part: Part,
-    /// What has come of the body and is not used yet: a line of a watch, or a whole list.
+    /// The part of the body that is not consumed yet: an incomplete line of a watch, or a whole list.
     body: Vec<u8>,
-    /// So much of the body has been looked through for the end of a list, and what was found there.
+    /// How much of the body has been searched for the end of a list, and the state of that search.
     searched: usize,
     scan: Scan,
 }
 
-/// Where the lists of a watch end. One is a line each, or comes indented over many: a line end amid an object is none of
-/// the watch's. An object that is cut shows by what follows it: a line that is empty, or begins another at its margin.
+/// Finds the end of each list in a watch. A list is one line, or is indented over many lines: a line end
+/// within an object does not end the list. A list that was cut off is recognized by what follows it: an empty
+/// line, or another object that starts in the first column.
 #[derive(Clone, Copy, Debug, Default)]
 struct Scan {
     depth: usize,
     string: bool,
     escaped: bool,
-    /// Nothing has come of the line yet.
+    /// The next byte is the first of its line.
     margin: bool,
 }
 
 impl Scan {
-    /// Takes a byte; true where it ends a line that is no part of an object.
+    /// Takes a byte; returns true if it ends a line outside any object.
     fn take(&mut self, byte: u8) -> Result<bool, String> {
         let margin = std::mem::replace(&mut self.margin, byte == b'\n');
         if self.depth > 0 && margin && matches!(byte, b'\n' | b'{') {
-            return Err("a list that is cut".into());
+            return Err("a list that is cut off".into());
         }
         if self.string {
             (self.string, self.escaped) = match byte {
-                // No string runs over a line end: this one was cut.
-                b'\n' => return Err("a list that is cut".into()),
+                // A string can't contain a line end, so this list was cut off.
+                b'\n' => return Err("a list that is cut off".into()),
                 _ if self.escaped => (true, false),
                 b'\\' => (true, true),
                 b'"' => (false, false),
@@ -72,32 +73,33 @@
     }
 }
 
-/// What has become whole.
+/// What the latest bytes have completed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Whole {
-    /// The head, or lines. Bytes alone don't count: what drips an endless line is no watch.
+    /// Whether the head or a line is complete. Bytes alone don't count: a server that drips an endless line
+    /// does not keep a watch alive.
     pub any: bool,
-    /// Lists of a watch, or empty lines of it.
+    /// Complete lists of a watch, or empty lines.
     pub lists: Vec<Vec<u8>>,
 }
 
 impl Answer {
-    /// The answer to a watch, or to a call for the whole list.
+    /// Creates the parser for the response to a watch, or to a fetch of the whole list.
     pub fn new(watch: bool) -> Self {
         Answer { watch, part: Part::Head, body: Vec::new(), searched: 0, scan: Scan::default() }
     }
 
-    /// Whether nothing more is to come, where the connection has ended or not.
+    /// Returns whether the response is complete, given whether the connection has `ended`.
     pub fn is_done(&self, ended: bool) -> bool {
         matches!(self.part, Part::Done) || ended && matches!(self.part, Part::UntilEnd)
     }
 
-    /// What has come of the body.
+    /// Takes out the body received so far.
     pub fn body(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.body)
     }
 
-    /// Takes what has come.
+    /// Parses the received bytes.
     pub fn take(&mut self, inbound: &mut Ring) -> Result<Whole, String> {
         let mut whole = Whole::default();
         loop {
@@ -117,7 +119,8 @@
                         used
                     }
                     Ok(httparse::Status::Complete((used, size))) => {
-                        self.part = Part::Chunk(usize::try_from(size).map_err(|_| "a chunk too long")?);
+                        self.part =
+                            Part::Chunk(usize::try_from(size).map_err(|_| "a chunk that is too long")?);
                         used
                     }
                     Ok(httparse::Status::Partial) => break,
@@ -139,7 +142,7 @@
                     self.part = Part::ChunkSize;
                     2
                 }
-                Part::ChunkEnd if bytes.len() >= 2 => return Err("a chunk without its line end".into()),
+                Part::ChunkEnd if bytes.len() >= 2 => return Err("a chunk without a line end".into()),
                 Part::ChunkEnd | Part::Done => break,
                 Part::UntilEnd => {
                     self.body.extend(bytes);
@@ -151,12 +154,12 @@
             }
             inbound.consume(used);
         }
-        // A head or a chunk's size that fills the ring is none.
+        // No valid head or chunk size is long enough to fill the ring.
         if inbound.is_full() {
-            return Err("a head too long".into());
+            return Err("a response head that is too long".into());
         }
         if self.body.len() > LONGEST {
-            return Err("a list too long".into());
+            return Err("a list that is too long".into());
         }
         if self.watch {
             let mut from = 0;
@@ -173,11 +176,11 @@
     }
 }
 
-/// Reads the head of an answer: how its body comes, and the head's length.
+/// Parses the head of a response. Returns how its body is delimited, and the length of the head.
 fn head(bytes: &[u8]) -> Result<Option<(Part, usize)>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
-    let used = match response.parse(bytes).map_err(|e| format!("invalid HTTP answer: {e}"))? {
+    let used = match response.parse(bytes).map_err(|e| format!("invalid HTTP response: {e}"))? {
         httparse::Status::Partial => return Ok(None),
         httparse::Status::Complete(used) => used,
     };
--- a/crates/gradeshunt/src/discovery/answer/tests.rs
+++ b/crates/gradeshunt/src/discovery/answer/tests.rs
@@ -1,12 +1,13 @@
-//! Tests of the part named by the folder.
+//! Tests of the response parser.
 
 use super::*;
 
-/// Feeds so many pieces; tells after how many the answer was given up, if it was, and in how many something was whole.
+/// Feeds these pieces. Returns the piece at which the answer was given up, if it was, and for how many pieces
+/// something became complete.
 fn feed(answer: &mut Answer, pieces: impl IntoIterator<Item = Vec<u8>>) -> (Option<usize>, usize) {
     let (mut ring, mut whole) = (Ring::default(), 0);
     for (n, piece) in pieces.into_iter().enumerate() {
-        // As a socket is read: no more than fits.
+        // Like a read from a socket: no more than fits.
         assert!(ring.push(&piece[..piece.len().min(crate::ring::LARGEST - ring.len())]));
         match answer.take(&mut ring) {
             Ok(w) => whole += usize::from(w.any),
@@ -22,13 +23,18 @@
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Guards against a watch that is kept by bytes that tell nothing: discovery would be deaf to drains meanwhile.
+/// Guards against a watch that is kept alive by bytes that complete nothing: the proxy would miss drains
+/// meanwhile.
 #[test]
 fn endless_line_shows_no_life_and_ends_by_its_size() {
     let mut answer = Answer::new(true);
     assert_eq!(feed(&mut answer, [HEAD.to_vec()]), (None, 1));
-    assert_eq!(feed(&mut answer, [chunk(b"{\"generation\":1}\n"), chunk(b"\n")]), (None, 2), "lines do");
-    assert_eq!(feed(&mut answer, vec![chunk(b"x"); 1000]), (None, 0), "a drip does not");
+    assert_eq!(
+        feed(&mut answer, [chunk(b"{\"generation\":1}\n"), chunk(b"\n")]),
+        (None, 2),
+        "complete lines count"
+    );
+    assert_eq!(feed(&mut answer, vec![chunk(b"x"); 1000]), (None, 0), "single bytes of a line don't");
     let (given_up, whole) = feed(&mut answer, vec![chunk(&[b'x'; 100_000]); 30]);
     assert_eq!((given_up, whole), (Some(20), 0), "2 MiB of one line");
 }
@@ -47,8 +53,9 @@
     assert!(endless(HEAD, &[b'0'; 1024]));
 }
 
-/// Guards lists that come indented: where one ends its braces tell, not its lines. One that is cut is known by what
-/// follows it, at once: a watch that waits for the rest of it would be deaf until it counts as silent.
+/// Guards indented lists: braces determine where such a list ends, not line ends. A list that is cut off is
+/// recognized at once by what follows it: a watch that waited for the rest would deliver nothing until it
+/// counts as silent.
 #[test]
 fn indented_list_is_one_and_a_cut_one_none() {
     let lists = |pieces: &[&[u8]]| {
@@ -69,13 +76,13 @@
     assert_eq!(
         lists(&[one, two, b"\n", b"{}\n{}\n"]).map(|l| l.len()),
         Ok(4),
-        "split anywhere, and others behind"
+        "split anywhere, with other lists after it"
     );
     assert_eq!(
         lists(&[b"{}\n", b"{\"instances\":[", b"\n", b"\n"]),
         Err(1),
-        "an empty line behind half of one"
+        "an empty line after half of a list"
     );
-    assert_eq!(lists(&[b"{}\n", b"{\"instances\":[\n", b"{}\n"]), Err(1), "another at the margin");
-    assert_eq!(lists(&[b"{}\n", b"{\"instances\":[{\"instanceId\":\"s-\n"]), Err(1), "cut amid a name");
+    assert_eq!(lists(&[b"{}\n", b"{\"instances\":[\n", b"{}\n"]), Err(1), "another list in the first column");
+    assert_eq!(lists(&[b"{}\n", b"{\"instances\":[{\"instanceId\":\"s-\n"]), Err(1), "cut off within a name");
 }
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -1,7 +1,6 @@
-//! Reads lists of db hosts in discovery's form. No I/O.
-//!
-//! A list may be cut, odd or huge, and the process has little memory: entries are read one at a time from the text, and
-//! of what is wrong only so much is kept as a reader of the log needs.
+//! Reads lists of db hosts in discovery's format. No I/O.
+//! | A list may be truncated, malformed or huge, and the process has little memory: entries are parsed one at
+//! a time from the text, and only the first few errors are kept for the log.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -16,44 +15,46 @@
 use crate::clock::Clock;
 use crate::unix_time::STEP_TOLERANCE;
 
-/// How many unreadable entries of a list are told of one by one.
+/// How many unreadable entries of a list are reported one by one.
 const TOLD: usize = 3;
-/// How many zones are told apart. There are a handful; what comes beyond that counts as the last.
+/// How many zones are distinguished. There are a handful; any beyond that count as the last one.
 const ZONES: usize = 64;
 
-/// News of the list.
+/// A list or an update of it, or the failure to get one.
 pub struct News {
     pub kind: ListKind,
     pub entries: Vec<Entry>,
     pub listed: Vec<Listed>,
-    /// How many entries were passed over, and what is wrong with the first.
+    /// How many entries were skipped, and what is wrong with the first few.
     pub unreadable: usize,
     pub why: Vec<String>,
 }
 
 impl News {
-    /// A list of this kind, as yet empty.
+    /// Creates an empty list of this kind.
     pub fn new(kind: ListKind) -> Self {
         News { kind, entries: Vec::new(), listed: Vec::new(), unreadable: 0, why: Vec::new() }
     }
 }
 
-/// When a db host has started.
+/// When a db host started, in Unix time and on the proxy's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Start {
     unix_ms: f64,
     at: Micros,
 }
 
-/// Reads lists in discovery's form, and numbers db hosts in the order met.
+/// Reads lists in discovery's format, and numbers db hosts in the order in which they appear.
 pub struct Reader {
     names: Names,
-    /// Those listed now; one that is gone gives its name back, and gets a new number should it return.
+    /// The db hosts that are listed now. One that is removed loses its number, and gets a new one if it
+    /// returns.
     numbers: HashMap<String, MemberId>,
-    /// Their last starts, as they were told and on the proxy's clock. The wall clock may have been stepped since: what is told
-    /// again unchanged is no other start.
+    /// Their latest start times, as reported and on the proxy's clock. The wall clock may have been stepped
+    /// since: a start time that is reported again unchanged is not another start.
     starts: HashMap<MemberId, Start>,
-    /// Listed with a start before primaries had shown the distance of the clocks: it may have been read wrongly.
+    /// Db hosts listed with a start time before primaries had shown the clock offset: it may have been read
+    /// wrongly.
     unshown: BTreeMap<MemberId, Entry>,
     next: u32,
     generation: u64,
@@ -71,22 +72,22 @@
         }
     }
 
-    /// The latest list's version.
+    /// Returns the version of the latest list.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The number of a db host that is listed now.
+    /// Returns the number of a db host that is listed now.
     pub fn member(&self, id: &str) -> Option<MemberId> {
         self.numbers.get(id).copied()
     }
 
-    /// The name of a db host that is listed now.
+    /// Returns the name of a db host that is listed now.
     pub fn name(&self, member: MemberId) -> Option<&str> {
         self.numbers.iter().find(|(_, m)| **m == member).map(|(name, _)| name.as_str())
     }
 
-    /// Reads one line of a watch; nothing for an empty one.
+    /// Reads one line of a watch; returns `None` for an empty one.
     pub fn line(&mut self, clock: &Clock, line: &[u8], after: u64) -> Result<Option<News>, String> {
         let text = std::str::from_utf8(line).map_err(|e| format!("a list that is not UTF-8: {e}"))?;
         if text.trim().is_empty() {
@@ -95,9 +96,10 @@
         self.news(clock, text, after).map(Some)
     }
 
-    /// Reads a list, told to a call that asked for what changed after a version. Where it can't be read as a whole, nothing
-    /// of it counts; nor where another call has told a later version since: it would set back what is known, drains too. A
-    /// version from before the call asked is no such thing: discovery has begun to count anew.
+    /// Reads a list from a call that asked for the changes after the version `after`. A list that can't be
+    /// parsed as a whole is rejected. A list is also ignored if another call has delivered a later version
+    /// since, because it would undo what is known, drains included. A version from before the call's `after`
+    /// is accepted: discovery has restarted its numbering.
     pub fn news(&mut self, clock: &Clock, text: &str, after: u64) -> Result<News, String> {
         let bad = |e: serde_json::Error| format!("a list that is not JSON: {e}");
         let fields: BTreeMap<String, &RawValue> = serde_json::from_str(text).map_err(bad)?;
@@ -105,7 +107,7 @@
         let generation = field("generation").and_then(|v| v.as_u64()).unwrap_or(self.generation);
         let list = fields.get("instances").ok_or("a list without instances")?;
         let list: Vec<&RawValue> =
-            serde_json::from_str(list.get()).map_err(|_| "a list whose instances are no array")?;
+            serde_json::from_str(list.get()).map_err(|_| "a list whose instances are not an array")?;
         let versions = ListVersions { asked_after: after, known: self.generation, told: generation };
         if may_apply_list(versions).is_err() {
             return Ok(News::new(ListKind::Incremental));
@@ -113,8 +115,9 @@
         let full = field("reset").is_some_and(|v| v == true);
         let mut news = News::new(if full { ListKind::Full } else { ListKind::Incremental });
         for raw in list {
-            // One odd entry must not keep a drain among the others from being heard.
-            let entry = serde_json::from_str(raw.get()).map_err(|e| format!("an instance that is none: {e}"));
+            // One malformed entry must not hide a drain among the others.
+            let entry =
+                serde_json::from_str(raw.get()).map_err(|e| format!("an instance that is not JSON: {e}"));
             match entry.and_then(|v| self.entry(clock, &v)) {
                 Ok((id, entry, addr)) => {
                     news.listed.push(Listed { id, member: entry.member, addr, phase: entry.phase });
@@ -126,7 +129,7 @@
                 }
             }
         }
-        // Guards a long life's memory: names come and go all the time.
+        // Bounds the memory of a long-lived process: names come and go all the time.
         let mut gone = HashSet::new();
         for e in &news.entries {
             match e.phase {
@@ -147,8 +150,8 @@
         Ok(news)
     }
 
-    /// Tells starts again that were read with a distance of the clocks which primaries have corrected since: a db host that has just
-    /// started would pass for warm.
+    /// Returns the entries whose start times were read with a clock offset that primaries have corrected
+    /// since. Otherwise a db host that has just started would count as warm.
     pub fn corrected_starts(&mut self, clock: &Clock) -> Option<News> {
         if self.unshown.is_empty() || !clock.is_shown(clock.now()) {
             return None;
@@ -165,7 +168,7 @@
         (!news.entries.is_empty()).then_some(news)
     }
 
-    /// When a db host has started that tells this Unix time in milliseconds.
+    /// Converts the start time of a db host from Unix time in milliseconds to the proxy's clock.
     fn start(&mut self, clock: &Clock, member: MemberId, unix_ms: f64) -> Micros {
         let known = self.starts.get(&member).filter(|start| start.unix_ms == unix_ms);
         let at = known.map_or_else(|| clock.latest_at_unix_ms(unix_ms), |start| start.at);
@@ -173,7 +176,7 @@
         at
     }
 
-    /// A zone that the settings don't name is still one of its own.
+    /// A zone that the settings don't name still gets a number of its own.
     fn zone(&mut self, name: &str) -> ZoneId {
         self.names.zone(name).unwrap_or_else(|_| {
             if self.names.zones.len() < ZONES {
@@ -188,17 +191,17 @@
             v.get(key).and_then(Value::as_str).ok_or_else(|| format!("an instance without {key}"))
         };
         let (id, host_port) = (text("instanceId")?, text("hostPort")?);
-        let addr = host_port.parse().map_err(|_| format!("hostPort is no address: {host_port:?}"))?;
+        let addr = host_port.parse().map_err(|_| format!("hostPort is not an address: {host_port:?}"))?;
         let phase = match text("lifecycle")? {
             "ready" => Phase::Up,
             "draining" => Phase::Draining,
             "gone" => Phase::Removed,
-            // Whatever else there may be one day: it is not ready.
+            // An unknown lifecycle is not known to be ready.
             _ => Phase::Draining,
         };
         let group = GroupId(v.get("cell").and_then(Value::as_u64).ok_or("an instance without cell")?);
         let zone = text("zone")?;
-        // Only what can be read gets a number: a name that never comes again would keep its own for good.
+        // Only a readable entry gets a number: a malformed name would keep its number for ever.
         let fresh = MemberId(self.next);
         let member = *self.numbers.entry(id.to_owned()).or_insert(fresh);
         self.next += u32::from(member == fresh);
--- a/crates/gradeshunt/src/discovery/list/tests.rs
+++ b/crates/gradeshunt/src/discovery/list/tests.rs
@@ -1,8 +1,9 @@
-//! Tests of the part named by the folder.
+//! Tests of the reader of lists.
 
 use super::*;
 
-/// Guards a long life's memory: a day replaces all db hosts under new names, many times over.
+/// Guards the memory of a long-lived process: within a day all db hosts are replaced under new names, many
+/// times over.
 #[test]
 fn forgets_names_that_are_gone() {
     let names = Names { zones: vec!["a".into()], ..Names::default() };
@@ -17,7 +18,7 @@
         assert_eq!(told(&format!("s-{n}"), "ready", false), (MemberId(n), 1));
         assert_eq!(told(&format!("s-{n}"), "gone", false), (MemberId(n), 0));
     }
-    assert_eq!(told("s-0", "ready", false), (MemberId(100), 1), "it returns as another");
+    assert_eq!(told("s-0", "ready", false), (MemberId(100), 1), "it returns with another number");
     assert_eq!(told("s-0", "draining", false), (MemberId(100), 1));
     assert_eq!(told("s-1", "ready", true), (MemberId(101), 1));
 }
@@ -26,7 +27,8 @@
     Reader::new(Names { zones: vec!["a".into()], ..Names::default() })
 }
 
-/// Guards the loop against lists of any length: work that grows with the square of it stands for seconds.
+/// Guards the event loop against long lists: work that grows with the square of their length blocks the loop
+/// for seconds.
 #[test]
 fn list_of_thousands_is_taken_and_the_next_one_forgets_it() {
     let instance = |n: usize| {
@@ -41,12 +43,13 @@
     let (mut reader, clock) = (reader(), Clock::start());
     let news = reader.news(&clock, &list(10_000), 0).expect("a list");
     assert_eq!((news.entries.len(), news.unreadable, reader.numbers.len()), (10_000, 0, 10_000));
-    assert_eq!(reader.names.zones.len(), ZONES, "zones beyond a few count as one");
+    assert_eq!(reader.names.zones.len(), ZONES, "zones beyond the limit count as the last one");
     reader.news(&clock, &list(3), 0).expect("a list");
     assert_eq!(reader.numbers.len(), 3);
 }
 
-/// Guards the log and the memory: of thousands of odd entries three are told of, and none keeps a number.
+/// Guards the log and the memory: of thousands of malformed entries three are reported, and none keeps a
+/// number.
 #[test]
 fn odd_entries_cost_themselves_alone() {
     let odd = r#"{"instanceId":"odd","hostPort":"127.0.0.1:1","lifecycle":"ready"},[],7,"#.repeat(3_000);
@@ -58,7 +61,7 @@
     assert!(news.entries.iter().all(|e| e.phase == Phase::Draining && e.member == MemberId(0)));
 }
 
-/// Guards against half of a list: the held one serves on, and its version stands.
+/// Guards against a truncated list: the known list and its version stay in force.
 #[test]
 fn list_that_is_cut_or_none_changes_nothing() {
     let mut reader = reader();
@@ -76,8 +79,8 @@
     assert_eq!(reader.member("s-1"), Some(MemberId(0)));
 }
 
-/// Guards what one call has told against what another tells later of earlier: a drain stands. Discovery that counts anew is
-/// believed all the same.
+/// Guards what one call has delivered against an older version that another call delivers later: a drain
+/// stays in force. Discovery that restarts its numbering is still believed.
 #[test]
 fn older_list_than_another_call_has_told_changes_nothing() {
     let list = |generation: u64, lifecycle: &str| {
@@ -93,8 +96,9 @@
     assert_eq!((anew.entries.len(), anew.entries[0].phase, reader.generation()), (1, Phase::Up, 7));
 }
 
-/// Guards slow start over a step of the wall clocks: a start that is told again is no other one, and a db host that restarts after
-/// a step back, whose start is the earlier Unix time, has started just then.
+/// Guards slow start across a step of the wall clocks: a start time that is reported again is not another
+/// start, and a db host that restarts after a step back, whose start has an earlier Unix time, counts as just
+/// started.
 #[test]
 fn restart_after_a_step_back_is_seen_and_a_start_told_again_is_none() {
     const HOUR_MS: i64 = 3_600_000;
@@ -110,18 +114,18 @@
     let started = unix_ms(&clock) - 30_000;
     let first = since(&clock, started);
     clock.take_offset(clock.offset() - HOUR_MS * 1000, clock.now());
-    assert_eq!(since(&clock, started), first, "before anybody has confirmed the step");
+    assert_eq!(since(&clock, started), first, "the step is not confirmed yet");
     let restarted = unix_ms(&clock) - HOUR_MS;
     assert!(
         since(&clock, restarted) >= first + 29_000_000,
-        "the candidate counts where it tells a later start"
+        "the candidate offset counts where it gives a later start"
     );
     clock.confirm();
     assert!(since(&clock, restarted + 1) >= clock.now() - 1_000_000);
 }
 
-/// Guards slow start where a process starts with its own clock ahead: a db host that has just started must not pass for warm once
-/// primaries have shown the time.
+/// Guards slow start where the proxy's process starts with its own clock ahead: a db host that has just
+/// started must not count as warm once primaries have shown the time.
 #[test]
 fn start_that_was_read_with_a_wrong_clock_is_told_again_once_the_time_is_shown() {
     const AHEAD_MS: i64 = 30_000;
@@ -133,10 +137,10 @@
             "lifecycle":"ready","startedAtMs":{started_ms}}}]}}"#
     );
     let told = reader.news(&clock, &list, 0).expect("a list").entries[0].since.expect("a start");
-    assert!(told <= clock.now() - 29_000_000, "it passes for warm");
-    assert!(reader.corrected_starts(&clock).is_none(), "nobody has shown the time");
+    assert!(told <= clock.now() - 29_000_000, "it counts as warm");
+    assert!(reader.corrected_starts(&clock).is_none(), "no primary has shown the time");
     let offset = clock.offset();
-    // Four answers of primaries, 10 ms apart, show that all others' clocks are 30 s behind.
+    // Four answers of primaries, 10 ms apart, show that all other machines' clocks are 30 s behind.
     for answer in 1..=4 {
         let at = answer * 10_000;
         clock.hear_primary(at, at + offset - AHEAD_MS * 1000);
@@ -144,5 +148,5 @@
     let news = reader.corrected_starts(&clock).expect("a start to correct");
     assert_eq!((news.kind, news.entries.len()), (ListKind::Incremental, 1));
     assert!(news.entries[0].since.expect("a start") >= -1_000_000, "it has just started");
-    assert!(reader.corrected_starts(&clock).is_none(), "once is enough");
+    assert!(reader.corrected_starts(&clock).is_none(), "a start is corrected once");
 }
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The list of db hosts: discovery's HTTP watch and fetch.
+//! Client of discovery: obtains the list of db hosts by an HTTP watch and by fetches.
 
 mod answer;
 mod list;
@@ -22,24 +22,26 @@
 use crate::ring::{Moved, Ring};
 use crate::turn::{Polled, Source, Turn};
 
-/// Reads of a call in one turn.
+/// Most reads of one call in one turn.
 const READS: usize = 8;
-/// Within this time all proxies of a fleet open watches anew that fell silent for all at once, each at its turn.
+/// When discovery falls silent for all proxies of a fleet at once, they spread the reopening of their watches
+/// over this time.
 const REOPEN_WITHIN: Micros = 500_000;
 
-/// How the list comes, and how soon a watch that has ended is opened anew.
+/// How the list arrives, and how soon a watch that has ended is reopened.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// The list is pushed: what the agent has counts as told, watch or none. A watch stands from the start, and one that
-    /// has ended is opened anew after this long. `None` where the decisions say when to ask.
+    /// Set where the list is pushed: the proxy then counts as informed of all that the agent has, with or
+    /// without a watch. A watch is open from the start, and one that has ended is reopened after this long.
+    /// `None` where the decision library says when to ask.
     pub pushed: Option<Micros>,
-    /// This proxy's turn among its fleet, from 0 to 1.
+    /// This proxy's place in the order of its fleet, from 0 to 1.
     pub turn: f64,
 }
 
 impl Pace {
     pub fn new(settings: &Settings) -> Self {
-        // A drain that comes while no watch stands must be heard well within what it grants.
+        // A drain announced while no watch is open must be learned of well within its grace period.
         let pushed = (!settings.list_on_request).then_some((settings.rules.drain_grace / 4).max(1_000));
         let turn = (f64::from(settings.me) + 0.5) / f64::from(settings.fleet.max(1));
         Pace { pushed, turn }
@@ -48,16 +50,16 @@
 
 struct Call {
     ask: Ask,
-    /// A watch at the former address: it is listened to until its successor has told the list.
+    /// A watch at the former address: it is read until its successor has delivered the list.
     former: bool,
     polled: Polled,
     inbound: Ring,
     outbound: Ring,
     answer: Answer,
-    /// The version after which it was asked for changes.
+    /// The version of the list after which this call asked for changes.
     after: u64,
-    /// By when something has to be whole: the head, a line, the list. Bytes alone don't count: one that drips an endless
-    /// line would keep the watch, and nothing be heard any more.
+    /// Time by which something must be complete: the head, a line, the list. Bytes alone don't extend it: a
+    /// server that drips an endless line would keep the watch open without delivering any news.
     due: Micros,
 }
 
@@ -66,10 +68,10 @@
     addr: SocketAddr,
     silence: Micros,
     pace: Pace,
-    /// When a watch is opened anew, if one is to be.
+    /// When a watch is to be reopened, if one is.
     reopen: Option<Micros>,
     reader: Reader,
-    /// A list has come.
+    /// Whether discovery has delivered a list.
     is_heard: bool,
     calls: BTreeMap<CallId, Call>,
     next: u64,
@@ -90,13 +92,13 @@
         }
     }
 
-    /// Watches from now on. The decisions ask for nothing before their first event, and a process without a list has none:
-    /// it turns requests away.
+    /// Opens the first watch. The decision library asks for nothing before its first event, and a process
+    /// without a list has none: it turns requests away.
     pub fn start(&mut self, turn: &mut Turn, news: &mut Vec<News>) {
         self.ask(turn, Ask::Watch, news);
     }
 
-    /// A watch is to be opened anew.
+    /// Reopens the watch if that is due.
     pub fn reopen_due(&mut self, turn: &mut Turn, news: &mut Vec<News>) {
         if self.reopen.take_if(|at| *at <= turn.now).is_some() {
             self.ask(turn, Ask::Watch, news);
@@ -111,14 +113,14 @@
         turn.deadlines.set(at, Due::Reopen);
     }
 
-    /// The list as the configuration gives it, which may be old.
+    /// Reads the list in the configuration, which may be outdated.
     pub fn known(&mut self, clock: &Clock, known: &Value) -> Result<News, String> {
         let news = self.reader.news(clock, &known.to_string(), 0)?;
         Ok(News { kind: ListKind::Saved, ..news })
     }
 
-    /// Db hosts whose starts were read wrongly before primaries had shown the distance of the clocks. Nothing before the first list:
-    /// what the configuration knows is no news.
+    /// Returns db hosts whose start times were read wrongly before primaries had shown the clock offset.
+    /// Returns `None` before the first list from discovery: what the configuration lists is no news.
     pub fn corrected_starts(&mut self, clock: &Clock) -> Option<News> {
         if !self.is_heard {
             return None;
@@ -126,19 +128,19 @@
         self.reader.corrected_starts(clock)
     }
 
-    /// The number of a db host that is listed now.
+    /// Returns the number of a db host that is listed now.
     pub fn member(&self, id: &str) -> Option<MemberId> {
         self.reader.member(id)
     }
 
-    /// The name of a db host that is listed now.
+    /// Returns the name of a db host that is listed now.
     pub fn name(&self, member: MemberId) -> Option<&str> {
         self.reader.name(member)
     }
 
-    /// Asks; a failure is told as news.
+    /// Opens a watch or fetches the list; a failure is reported in `news`.
     pub fn ask(&mut self, turn: &mut Turn, ask: Ask, news: &mut Vec<News>) {
-        // One watch at a time: another would only tell the same again.
+        // One watch at a time: a second would only repeat the first.
         if ask == Ask::Watch && self.calls.values().any(|c| c.ask == Ask::Watch && !c.former) {
             return;
         }
@@ -148,7 +150,8 @@
         }
     }
 
-    /// A call has come to nothing. Where the list is pushed a watch is opened anew, else the module says when to ask.
+    /// Handles a call that failed. Where the list is pushed, a watch is reopened; otherwise the decision
+    /// library says when to ask.
     fn failed(&mut self, turn: &mut Turn, ask: Ask, kind: ListKind, news: &mut Vec<News>) {
         match self.pace.pushed {
             Some(wait) if ask == Ask::Watch => self.reopen_in(turn, wait),
@@ -156,8 +159,8 @@
         }
     }
 
-    /// Discovery is elsewhere from now on. The watch that stands goes on being heard until the new one has
-    /// told the list, so that no drain falls between the two.
+    /// Moves to another address of discovery. The current watch is read until the new one has delivered the
+    /// list, so that no drain is missed between the two.
     pub fn move_to(&mut self, turn: &mut Turn, addr: SocketAddr, silence: Micros, news: &mut Vec<News>) {
         self.silence = silence;
         if std::mem::replace(&mut self.addr, addr) == addr {
@@ -193,8 +196,8 @@
 
     pub fn call_due(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) {
         let Some(call) = self.calls.get(&id).filter(|c| c.due <= turn.now) else { return };
-        // Whether it was ever heard or not, discovery may be there for others: all it takes is another watch, before what
-        // this one misses counts.
+        // Discovery may be available even if this watch never delivered anything. Another watch is opened
+        // before the time runs out after which its news counts as known.
         if call.ask == Ask::Watch && !call.former && self.pace.pushed.is_none() {
             warn!(turn.log, "watch has fallen silent, opening another");
             self.end(turn, id);
@@ -248,7 +251,7 @@
         turn.again.push(Source::Call(id));
     }
 
-    /// Takes what has come of an answer, in pieces that may be split anywhere.
+    /// Takes the received part of an answer, which may be split anywhere.
     fn take(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) -> Result<(), String> {
         let Some(call) = self.calls.get_mut(&id) else { return Ok(()) };
         let whole = call.answer.take(&mut call.inbound)?;
@@ -265,7 +268,7 @@
         Ok(())
     }
 
-    /// Discovery has refused a call, ended it, or been silent for too long.
+    /// Ends a call that discovery has refused, ended, or left silent for too long.
     fn fail(&mut self, turn: &mut Turn, id: CallId, why: &str, news: &mut Vec<News>) {
         self.fail_as(turn, id, why, ListKind::Failed, news);
     }
@@ -274,7 +277,7 @@
         let Some(call) = self.calls.get(&id) else { return };
         let (former, ask) = (call.former, call.ask);
         self.end(turn, id);
-        // Its successor is under way, or the module knows that that one has failed.
+        // Its successor is under way, or the decision library knows that the successor has failed.
         if former {
             return info!(turn.log, "former watch ended"; "why" => why);
         }
@@ -282,7 +285,7 @@
         self.failed(turn, ask, kind, news);
     }
 
-    /// The call `id` has told the list: where it is the successor, what was asked elsewhere is no longer heard.
+    /// Ends the watches at the former address once their successor `id` has delivered the list.
     fn end_former(&mut self, turn: &mut Turn, id: CallId) {
         if self.calls.get(&id).is_some_and(|c| !c.former) {
             let former = self.calls.iter().filter(|(_, c)| c.former).map(|(id, _)| *id).collect::<Vec<_>>();
@@ -298,8 +301,8 @@
     }
 }
 
-/// What a failed call of the system says of discovery: who refuses a connection is not there, and else the connection alone is known to
-/// be broken.
+/// Classifies a system error of a call: a refused connection means that discovery is not there; anything else
+/// says only that this connection is broken.
 fn kind_of(error: &io::Error) -> ListKind {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => ListKind::Failed,
--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the part named by the folder: real connections, and a clock that the test sets.
+//! Tests of the client with real connections and a clock that the test sets.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -22,7 +22,7 @@
 }
 
 impl Play {
-    /// The proxy that has `at` as its turn among its fleet, with a watch that was opened at 0.
+    /// A proxy with the place `at` in the order of its fleet, with a watch opened at time 0.
     fn open(at: f64, pushed: Option<Micros>) -> Play {
         let poll = EventLoop::<Ready>::try_new().expect("a poll");
         let turn = Turn::new(poll.handle(), Logger::root(Discard, o!()));
@@ -35,7 +35,7 @@
         play
     }
 
-    /// Discovery takes the call, and answers it with these bytes; they have been heard once this returns.
+    /// Accepts the call and answers it with these bytes; returns once the client has read them.
     fn answer(&mut self, bytes: &[u8]) -> TcpStream {
         let (mut call, _) = self.agent.accept().expect("a call");
         let id = *self.discovery.calls.last_key_value().expect("a call").0;
@@ -50,7 +50,7 @@
         call
     }
 
-    /// Waits for bytes of discovery, and has them read.
+    /// Waits for bytes from discovery, and has the client read them.
     fn hear(&mut self, id: CallId) {
         while self.discovery.calls[&id].polled.is_quiet() {
             std::thread::yield_now();
@@ -58,7 +58,7 @@
         self.discovery.ready(&mut self.turn, id, &mut self.news);
     }
 
-    /// Lets time go on to the next deadline, and tells when and what that was.
+    /// Moves time to the next deadline and handles it; returns its time and kind.
     fn next(&mut self) -> (Micros, Due) {
         let at = self.turn.deadlines.next().expect("a deadline");
         self.turn.now = at;
@@ -72,8 +72,9 @@
     }
 }
 
-/// Guards what a silent watch misses: it counts as told 6 s after the silence began, or 2 s after the wait of the call that
-/// follows. The watch is opened anew by itself, within half a second of being known for silent, each proxy at its turn.
+/// Guards news that a silent watch misses: the proxy counts as informed 6 s after the silence began, or 2 s
+/// after the wait of the call that follows. The client reopens the watch by itself within half a second of
+/// noticing the silence, each proxy at its own place in that time.
 #[test]
 fn silent_watch_is_opened_anew_each_proxy_at_its_turn() {
     let mut reopened = Vec::new();
@@ -81,7 +82,7 @@
         let mut play = Play::open(at, None);
         let _silent = play.answer(HEAD);
         assert_eq!(play.next().0, SILENCE);
-        assert!(play.news.is_empty(), "nobody is told of a failure, and none waits for that");
+        assert!(play.news.is_empty(), "no failure is reported, and nothing waits for one");
         let (at, due) = play.next();
         assert_eq!(due, Due::Reopen);
         reopened.push(at - SILENCE);
@@ -91,24 +92,26 @@
     assert_eq!(reopened, [50_000, 250_000, 450_000]);
 }
 
-/// Guards against a watch that is opened again and again at a discovery that takes calls and says nothing: one that was
-/// never heard is waited for as long as one that was, and the next one comes at the proxy's turn, never at once.
+/// Guards against a proxy that reopens its watch again and again while discovery accepts calls and says
+/// nothing: a watch that never delivered anything gets the same time as one that did, and the next one is
+/// opened at the proxy's place in the order, never at once.
 #[test]
 fn watch_that_is_never_heard_is_opened_anew_at_its_turn_and_not_at_once() {
     let mut play = Play::open(0.5, None);
     let mut opened = 0;
     for _ in 0..3 {
         assert_eq!(play.next().0, opened + SILENCE);
-        assert!(play.discovery.calls.is_empty(), "none before its turn");
-        assert!(play.news.is_empty(), "nobody is told of a failure, and none waits for that");
+        assert!(play.discovery.calls.is_empty(), "no call before its place in the order");
+        assert!(play.news.is_empty(), "no failure is reported, and nothing waits for one");
         assert_eq!(play.next(), (opened + SILENCE + 250_000, Due::Reopen));
         assert_eq!(play.discovery.calls.len(), 1, "one watch at a time");
         opened = play.turn.now;
     }
 }
 
-/// Guards drains that come while no watch stands, where lists are pushed: what the agent has counts as told. One that
-/// refuses, falls silent or ends is called again within what a drain grants.
+/// Guards drains announced while no watch is open, where lists are pushed: the proxy counts as informed of
+/// what the agent has. After a refused, silent or ended watch the client calls again within a drain's grace
+/// period.
 #[test]
 fn pushed_list_is_watched_again_soon_whatever_ends_the_watch() {
     let mut play = Play::open(0.5, Some(60_000));
@@ -121,34 +124,35 @@
         play.discovery.ready(&mut play.turn, id, &mut play.news);
     }
     assert_eq!(play.next(), (SILENCE + 120_000, Due::Reopen));
-    assert!(play.news.is_empty(), "the decisions have no part in it");
+    assert!(play.news.is_empty(), "the decision library is not involved");
 }
 
-/// What discovery has to tell counts as told this long after it had it and could be reached, whatever failed.
+/// The proxy counts as informed of a change this long after discovery had it and could be reached, whatever
+/// failed.
 const COUNTS_AS_TOLD: Micros = 6_000_000;
 /// The same after SIGHUP.
 const COUNTS_AFTER_RELOAD: Micros = 4_000_000;
-/// What is left of that time for the call that brings it.
+/// The part of that time reserved for the call that delivers the change.
 const CALL: Micros = 500_000;
 
-/// How one call comes to nothing.
+/// How one call fails.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// It is taken, and nothing is ever said.
+    /// The call is accepted, and nothing is ever sent.
     NeverHeard,
-    /// The watch stands, and falls silent.
+    /// The watch is established, and falls silent.
     Silent,
-    /// The watch stands, and a line drips that never ends.
+    /// The watch is established, and sends a line that never ends.
     Drips,
     /// The connection ends at once.
     Refused,
 }
 
-/// A proxy's discovery, with the decisions that say when a failed call is repeated.
+/// A proxy's discovery client, with the decision library that says when a failed call is repeated.
 struct Repeating {
     play: Play,
     decisions: Balancer,
-    /// What discovery holds open and says nothing on.
+    /// Connections that discovery holds open without sending anything.
     open: Vec<TcpStream>,
 }
 
@@ -177,7 +181,7 @@
         }
     }
 
-    /// The decisions hear of each failure.
+    /// Reports each failure to the decision library.
     fn tell_failures(&mut self) {
         for news in std::mem::take(&mut self.play.news) {
             assert_eq!(news.kind, ListKind::Failed);
@@ -189,7 +193,7 @@
         self.play.discovery.calls.last_key_value().map(|(id, _)| *id)
     }
 
-    /// The call that is out comes to nothing; time goes on until the next one is made.
+    /// Makes the open call fail, and moves time until the next call is made.
     fn suffer(&mut self, fault: Fault) {
         let failed = self.latest_call();
         let call = match fault {
@@ -216,7 +220,7 @@
         }
     }
 
-    /// Bytes of one line keep coming, up to the moment before the watch counts as silent.
+    /// Sends bytes of one line until just before the watch counts as silent.
     fn drip(&mut self) -> TcpStream {
         let mut call = self.play.answer(HEAD);
         let id = self.latest_call().expect("a call");
@@ -240,7 +244,7 @@
     }
 }
 
-/// The longest time until the call that follows these faults, over proxies of a fleet and draws of the decisions.
+/// The longest time until the call that follows these faults, over several proxies of a fleet and seeds.
 fn longest_until_heard(faults: &[Fault]) -> Micros {
     let mut longest = 0;
     for turn in [0.5 / 300.0, 0.5, 299.5 / 300.0] {
@@ -253,8 +257,9 @@
     longest
 }
 
-/// Guards the time within which a change counts as told, whatever is allowed after a failed, refused or given-up call: a
-/// watch that is silent in whatever way and a call that is refused, in both orders, leave time for the call that brings it.
+/// Guards the time within which the proxy counts as informed of a change, whatever pause follows a failed,
+/// refused or abandoned call: a silent watch of any kind and a refused call, in either order, leave time for
+/// the call that delivers the change.
 #[test]
 fn change_is_asked_for_in_time_after_a_silent_watch_and_a_refused_call() {
     let silent = [Fault::NeverHeard, Fault::Silent, Fault::Drips];
@@ -263,7 +268,7 @@
     assert!(longest.iter().all(|(_, took)| *took <= COUNTS_AS_TOLD - CALL), "us: {longest:?}");
 }
 
-/// Guards the 4 s after SIGHUP: the first watch at the new address is silent from its first moment.
+/// Guards the 4 s after SIGHUP, where the first watch at the new address is silent from the start.
 #[test]
 fn change_is_asked_for_in_time_after_a_silent_watch_at_a_new_address() {
     for turn in [0.5 / 300.0, 299.5 / 300.0] {
--- a/crates/gradeshunt/src/shared/files.rs
+++ b/crates/gradeshunt/src/shared/files.rs
@@ -1,6 +1,6 @@
-//! The folder in `$TMPDIR` that tells which db hosts are held out by hand, and what each process of this proxy does:
-//! the only place where the program touches files once it serves. All of it may wait on a disk, so it is called on the
-//! worker's thread alone.
+//! The folder in `$TMPDIR` that records which db hosts an operator holds out and the state of each process of
+//! this proxy. After start-up this is the only place where the program touches files. Any of these calls may
+//! block on the disk, so only the worker's thread makes them.
 
 use std::collections::BTreeSet;
 use std::fs::{self, File, TryLockError};
@@ -10,23 +10,24 @@
 
 use super::{Duty, View};
 
-/// Names longer than this make no file name.
+/// Longest id of a db host that can be part of a file name; hex encoding doubles it.
 const LONGEST: usize = 100;
-/// Process files, and how many there may be.
+/// Prefix of the processes' lock files.
 const PROCESS: &str = "process-";
+/// Most processes of a proxy that can share the folder.
 const MOST: usize = 64;
 
-/// The file work of the processes of one proxy.
+/// File operations shared by the processes of one proxy.
 pub trait Files: Send {
-    /// Tells the other processes what this one does.
+    /// Publishes this process's state to the other processes.
     fn tell(&mut self, duty: Duty) -> io::Result<()>;
-    /// Holds a db host out, or readmits it.
+    /// Holds a db host out (`out`) or readmits it.
     fn hold_out(&mut self, id: &str, out: bool) -> io::Result<()>;
-    /// What there is to see.
+    /// Reads the folder's current contents.
     fn look(&mut self) -> io::Result<View>;
 }
 
-/// Without a folder all stays with this process.
+/// Used without a folder: the state stays within this process.
 #[derive(Default)]
 pub struct Alone(View);
 
@@ -49,10 +50,10 @@
     }
 }
 
-/// Opens what this process shares with others: the folder of the proxy `name` in `$TMPDIR`, where that is set.
-///
-/// # Errors
-/// Those of the folder, which may pass.
+/// Opens the state shared between the processes of the proxy `name`: a folder in `$TMPDIR`, or memory where
+/// `$TMPDIR` is not set.
+/// | # Errors
+/// Those of opening the folder, which may be transient.
 pub fn open(name: &str) -> io::Result<Box<dyn Files>> {
     let tmp = std::env::var_os("TMPDIR").filter(|d| !d.is_empty());
     match tmp {
@@ -61,23 +62,23 @@
     }
 }
 
-/// The real folder.
+/// The shared folder on disk.
 pub struct Folder {
     path: PathBuf,
-    /// This process's file, locked, and its number.
+    /// This process's locked file, and its number.
     own: File,
     number: usize,
 }
 
 impl Folder {
-    /// The folder of the proxy `name` in the folder `tmp`; it is made where it isn't there, and this process takes its
-    /// place in it.
+    /// Opens the folder of the proxy `name` below `tmp`, creating it if it is missing, and claims a process
+    /// file in it.
     pub fn open(tmp: &Path, name: &str) -> io::Result<Self> {
         let path = tmp.join(format!("gradeshunt-{}", hex(name)));
         fs::create_dir_all(&path)?;
         let (own, number) = claim(&path)?;
         let mut folder = Folder { path, own, number };
-        // What an earlier process has left in this file is not this one's duty.
+        // The file may still hold the state of an earlier process.
         folder.tell(Duty::Starting)?;
         Ok(folder)
     }
@@ -115,7 +116,8 @@
     }
 }
 
-/// Locks the first process file that nobody holds. The files stay: to remove one could take it from under another.
+/// Locks the first process file that no process holds. The files are never removed: another process could be
+/// about to lock the one that is removed.
 fn claim(folder: &Path) -> io::Result<(File, usize)> {
     for n in 0..MOST {
         let path = folder.join(format!("{PROCESS}{n}"));
@@ -129,7 +131,7 @@
     Err(io::Error::other("too many processes of this proxy"))
 }
 
-/// What the process of this file does, if it lives.
+/// Returns the state of the process that holds this file, or `None` if no process does.
 fn duty(path: &Path) -> io::Result<Option<Duty>> {
     let file = File::open(path)?;
     match file.try_lock_shared() {
@@ -137,13 +139,13 @@
         Err(TryLockError::Error(e)) => Err(e),
         Err(TryLockError::WouldBlock) => {
             let mut told = [0];
-            // One that has told nothing yet has only just begun.
+            // A process whose file is still empty has only just started.
             Ok(Some(if file.read_at(&mut told, 0)? == 1 { of(told[0]) } else { Duty::Starting }))
         }
     }
 }
 
-/// The duty as it stands in the file of a process.
+/// The byte that stands for the state in a process file.
 fn byte(duty: Duty) -> u8 {
     match duty {
         Duty::Leaving => b'l',
@@ -156,7 +158,7 @@
     [Duty::Leaving, Duty::Serving].into_iter().find(|d| byte(*d) == told).unwrap_or(Duty::Starting)
 }
 
-/// Any name as part of a file name.
+/// Encodes any name so that it can be part of a file name.
 fn hex(name: &str) -> String {
     name.bytes().map(|b| format!("{b:02x}")).collect()
 }
--- a/crates/gradeshunt/src/shared/mod.rs
+++ b/crates/gradeshunt/src/shared/mod.rs
@@ -1,8 +1,8 @@
-//! What the processes of one proxy share while one takes over from the other: which db hosts are held out by hand, and
-//! what each process does.
-//!
-//! Here is what is known of it, and what file work is to be done next; no file is touched here. [`files`] does the work
-//! and [`worker`] is the thread that it is done on, so that the loop never waits for a disk.
+//! State that the processes of one proxy share while one takes over from the other: which db hosts an
+//! operator holds out, and the state of each process.
+//! | This module keeps what is known and decides which file work comes next; it does no I/O itself. [`files`]
+//! does the file work and [`worker`] is the thread that runs it, so that the event loop never waits for a
+//! disk.
 
 pub mod files;
 pub mod worker;
@@ -14,17 +14,18 @@
 use crate::config::{Config, ConfigError};
 use crate::ids::CallerId;
 
-/// Bans under way at a time; there are no more callers than this, but one that has given up makes room for the next.
+/// Most hold-outs under way at a time. There are no more operators' connections than this, but one that gives
+/// up frees its slot while its task is still under way.
 const BANS: usize = 16;
-/// A look that takes longer is told of.
+/// A look at the folder that takes longer is logged.
 const STANDS: Micros = 1_000_000;
-/// A configuration that can't be read now is tried again after this long.
+/// Pause before a configuration that could not be read is read again.
 const REREAD_PAUSE: Micros = 250_000;
-/// How often the same trouble is told of.
+/// Shortest interval between two complaints in the log.
 const COMPLAIN: Micros = 10_000_000;
 
-/// What a process does; it stands as one byte in a file that the process holds locked as long as it lives, so that
-/// one that was killed leaves nothing behind that could pass for it.
+/// State of a process. It is written as one byte to a file that the process keeps locked for as long as it
+/// lives, so that the file of a killed process is not mistaken for that of a live one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Duty {
     Leaving,
@@ -42,16 +43,16 @@
     }
 }
 
-/// What there is to see in the folder.
+/// Contents of the folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// Db hosts that are held out.
+    /// Db hosts that an operator holds out.
     pub held_out: BTreeSet<String>,
-    /// What another process does, if one lives.
+    /// State of the other process of this proxy, if one is alive.
     pub other: Option<Duty>,
 }
 
-/// File work to be done, in this order.
+/// File work to be done, in order.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Task {
     Look,
@@ -61,11 +62,11 @@
         id: String,
         out: bool,
     },
-    /// The configuration is read anew.
+    /// Read the configuration again.
     Reread,
 }
 
-/// File work done. What failed says why.
+/// Completed file work. A failure carries its reason.
 pub enum Done {
     Opened(Result<(), OpenFailure>),
     Looked(Result<View, String>),
@@ -78,40 +79,40 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenFailure {
     pub why: String,
-    /// It may pass, and is tried again.
+    /// The failure is transient, and opening is tried again.
     pub is_transient: bool,
 }
 
-/// What the rest of the program has to do about it.
+/// What the rest of the program has to react to.
 pub enum Change {
-    /// The folder can't be used: the program can't start.
+    /// The folder can't be used, so the program can't start.
     Unusable(String),
-    /// The folder has been seen for the first time: the program may begin.
+    /// The folder has been read for the first time, so the program may begin.
     Seen,
-    /// A db host is held out, or readmitted.
+    /// A db host has been held out or readmitted.
     Ban {
         id: String,
         out: bool,
     },
-    /// What another process does is seen, maybe no other than before.
+    /// The state of the other process has been read; `anew` if it differs from before.
     Other {
         anew: bool,
     },
-    /// What an operator has asked for is kept, or can't be.
+    /// An operator's order has been stored, or could not be.
     Kept {
         caller: CallerId,
         out: bool,
         kept: Result<(), String>,
     },
     Reread(Result<Box<Config>, ConfigError>),
-    /// A line for the log, at most every 10 s.
+    /// A line for the log, at most one every 10 s.
     Complain {
         what: &'static str,
         why: String,
     },
 }
 
-/// Work of a kind of which one at a time is enough.
+/// Work of a kind of which at most one task is under way at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Work {
     Idle,
@@ -140,23 +141,24 @@
     }
 }
 
-/// What is known of the folder, and the work that is under way there.
+/// What is known of the folder, and the file work that is under way.
 pub struct Shared {
     view: View,
-    /// Whether the folder was seen at all.
+    /// Whether the folder has been read at least once.
     seen: bool,
     look: Work,
     look_since: Micros,
-    /// Looks asked for so far, the one that the view is from, and the first that shows what was after SIGTERM.
+    /// Looks started so far, the look that `view` comes from, and the first look that was started after
+    /// SIGTERM.
     looks: u64,
     seen_by: u64,
     fresh_from: Option<u64>,
     tell: Work,
-    /// The last try to tell the duty has failed.
+    /// The last attempt to publish the state failed.
     tell_again: bool,
     duty: Duty,
     reread: Work,
-    /// When the configuration is tried again that could not be read.
+    /// When to try again to read a configuration that could not be read.
     reread_at: Option<Micros>,
     bans: Vec<Task>,
     bans_out: usize,
@@ -184,30 +186,32 @@
         }
     }
 
-    // ---- What is known ----
+    // ---- Known state ----
 
     pub fn is_held_out(&self, id: &str) -> bool {
         self.view.held_out.contains(id)
     }
 
-    /// What another process does, as far as was seen.
+    /// State of the other process, as of the latest look.
     pub fn other(&self) -> Option<Duty> {
         self.view.other
     }
 
-    /// Whether this process may be alone: one that has not looked yet has to think it is not.
+    /// Whether no other process of this proxy is known. A process that has not looked yet must assume that
+    /// there is another.
     pub fn is_alone(&self) -> bool {
         self.seen && self.view.other.is_none()
     }
 
-    /// Whether another process serves, seen by a look begun after this one was told to leave.
+    /// Whether another process serves, as shown by a look that began after this process was told to leave.
     pub fn is_succeeded(&self) -> bool {
         self.fresh_from.is_some_and(|from| self.seen_by >= from) && self.view.other == Some(Duty::Serving)
     }
 
-    // ---- What is wanted ----
+    // ---- Requested work ----
 
-    /// A look is due. One that has been out for long is told of. What has failed and may pass is tried again.
+    /// Requests a look, and retries what failed for a transient reason. Returns a complaint if a look has
+    /// been under way for too long.
     pub fn look(&mut self, now: Micros) -> Option<Change> {
         if std::mem::take(&mut self.tell_again) {
             self.tell.want();
@@ -215,20 +219,20 @@
         if self.reread_at.take_if(|at| *at <= now).is_some() {
             self.reread.want();
         }
-        // One that is out shows what comes next soon enough.
+        // A look that is already under way is recent enough.
         if !matches!(self.look, Work::Out { .. }) {
             self.look.want();
         } else if now - self.look_since > STANDS {
             return self.complain(
                 now,
-                "file work in $TMPDIR stands",
+                "file work in $TMPDIR is stuck",
                 format!("{} ms", (now - self.look_since) / 1000),
             );
         }
         None
     }
 
-    /// This process does something else from now on.
+    /// Changes the state of this process and has it published.
     pub fn turn_to(&mut self, duty: Duty) {
         self.duty = duty;
         self.tell.want();
@@ -238,7 +242,8 @@
         }
     }
 
-    /// An operator holds a db host out, or readmits it; [`Change::Kept`] follows. False where too much is under way.
+    /// Holds a db host out or readmits it for an operator; [`Change::Kept`] follows. Returns false if too
+    /// much is under way.
     #[must_use]
     pub fn hold_out(&mut self, caller: CallerId, id: &str, out: bool) -> bool {
         let room = self.bans.len() + self.bans_out < BANS;
@@ -252,7 +257,7 @@
         self.reread.want();
     }
 
-    /// The next work to be done. What other processes wait to read is written first.
+    /// Returns the next work to do. What other processes wait for is written first.
     pub fn next(&mut self, now: Micros) -> Option<Task> {
         if self.tell.take() {
             return Some(Task::Tell(self.duty));
@@ -269,9 +274,9 @@
         self.reread.take().then_some(Task::Reread)
     }
 
-    // ---- What has come of it ----
+    // ---- Completed work ----
 
-    /// Takes over what file work has come to.
+    /// Takes over the result of file work.
     pub fn done(&mut self, now: Micros, done: Done) -> Vec<Change> {
         match done {
             Done::Opened(Ok(())) => Vec::new(),
@@ -285,14 +290,14 @@
                 self.look.done();
                 match view {
                     Ok(view) => self.saw(view),
-                    Err(why) => self.complain(now, "cannot look at $TMPDIR", why).into_iter().collect(),
+                    Err(why) => self.complain(now, "cannot read $TMPDIR", why).into_iter().collect(),
                 }
             }
             Done::Told(told) => {
                 self.tell.done();
                 let Err(why) = told else { return Vec::new() };
                 self.tell_again = true;
-                self.complain(now, "cannot tell the other process", why).into_iter().collect()
+                self.complain(now, "cannot publish the state of this process", why).into_iter().collect()
             }
             Done::HeldOut { caller, id, out, kept } => {
                 self.bans_out = self.bans_out.saturating_sub(1);
@@ -306,7 +311,7 @@
             }
             Done::Reread(config) => {
                 self.reread.done();
-                // What an operator has announced is owed until it was read.
+                // A SIGHUP counts until the configuration has been read.
                 if config.as_ref().is_err_and(|e| e.is_transient) {
                     self.reread_at = Some(now + REREAD_PAUSE);
                 }
@@ -324,14 +329,14 @@
         if first {
             changes.push(Change::Seen);
         }
-        // After SIGTERM each look may be the one that shows a successor.
+        // After SIGTERM each look may be the first that shows a successor, even if nothing else changed.
         if other || first || self.fresh_from.is_some() {
             changes.push(Change::Other { anew: other });
         }
         changes
     }
 
-    /// Twenty times a second the same line would help nobody.
+    /// Limits the rate: looks come 20 times a second, and a failing one would fill the log.
     fn complain(&mut self, now: Micros, what: &'static str, why: String) -> Option<Change> {
         let due = now >= self.complain_at;
         if due {
--- a/crates/gradeshunt/src/shared/tests.rs
+++ b/crates/gradeshunt/src/shared/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the part named by the folder.
+//! Tests of the shared state without files.
 
 use super::*;
 
@@ -11,8 +11,8 @@
     changes.iter().filter(|c| matches!(c, Change::Other { .. })).count()
 }
 
-/// Guards the loop's memory and the worker's queue: however long the disk stands, a kind is asked for once, and the
-/// latest duty wins.
+/// Guards the loop's memory and the worker's queue: while the disk blocks, each kind of work is requested
+/// once, and the latest state is the one that is published.
 #[test]
 fn while_the_disk_stands_little_is_asked() {
     let mut shared = Shared::new();
@@ -20,22 +20,23 @@
     let mut complaints = 0;
     for n in 1..=100 {
         complaints += usize::from(shared.look(n * 50_000).is_some());
-        assert_eq!(shared.next(n * 50_000), None, "one look is enough");
+        assert_eq!(shared.next(n * 50_000), None, "a look is already under way");
     }
-    assert_eq!(complaints, 1, "it is told that it stands, once in 10 s");
+    assert_eq!(complaints, 1, "one complaint in 10 s");
     shared.turn_to(Duty::Serving);
     assert_eq!(shared.next(0), Some(Task::Tell(Duty::Serving)));
     shared.turn_to(Duty::Starting);
     shared.turn_to(Duty::Leaving);
-    assert_eq!(shared.next(0), None, "the first has yet to be written");
+    assert_eq!(shared.next(0), None, "the first state is not written yet");
     shared.done(0, Done::Told(Ok(())));
     assert_eq!(shared.next(0), Some(Task::Tell(Duty::Leaving)));
     assert_eq!((0..100).filter(|n| shared.hold_out(CallerId(*n), "s-1", true)).count(), BANS);
     assert_eq!((0..100).filter(|_| shared.next(0).is_some()).count(), BANS);
 }
 
-/// Guards connections at the door: a process leaves the socket only to a successor that is seen to serve after it
-/// was told to leave. What an earlier look has seen may have died since.
+/// Guards connections that wait to be accepted: a process leaves the listening socket only to a successor
+/// that a look shows to serve, and that look must have begun after the process was told to leave. A successor
+/// seen by an earlier look may have died since.
 #[test]
 fn only_a_fresh_look_shows_a_successor() {
     let mut shared = Shared::new();
@@ -46,7 +47,7 @@
     shared.turn_to(Duty::Leaving);
     assert!(!shared.is_succeeded());
     assert_eq!(others(&shared.done(0, looked(Some(Duty::Serving), &[]))), 1);
-    assert!(!shared.is_succeeded(), "that look was begun before");
+    assert!(!shared.is_succeeded(), "that look began before SIGTERM");
     assert_eq!(shared.next(0), Some(Task::Tell(Duty::Leaving)));
     assert_eq!(shared.next(0), Some(Task::Look));
     assert!(!shared.is_succeeded());
@@ -58,27 +59,29 @@
     assert!(!shared.is_succeeded());
 }
 
-/// Guards an operator's yes: a ban holds and is confirmed when it is kept, and not where it isn't.
+/// Guards the confirmation that operators get: a hold-out takes effect and is confirmed once it is stored,
+/// and neither if it can't be.
 #[test]
 fn a_ban_is_confirmed_when_it_is_kept() {
     let mut shared = Shared::new();
-    assert!(!shared.is_alone(), "nobody knows yet");
+    assert!(!shared.is_alone(), "nothing has been read yet");
     let changes = shared.done(0, looked(None, &["s-1"]));
     assert!(matches!(&changes[0], Change::Ban { id, out: true } if id == "s-1"));
     assert!(matches!(&changes[1], Change::Seen) && shared.is_alone());
     assert!(shared.hold_out(CallerId(1), "s-2", true));
-    assert!(!shared.is_held_out("s-2"), "it is not kept yet");
+    assert!(!shared.is_held_out("s-2"), "it is not stored yet");
     let kept = |kept| Done::HeldOut { caller: CallerId(1), id: "s-2".to_owned(), out: true, kept };
     let changes = shared.done(0, kept(Err("full".to_owned())));
     assert!(matches!(&changes[..], [Change::Kept { kept: Err(_), .. }]) && !shared.is_held_out("s-2"));
     let changes = shared.done(0, kept(Ok(())));
     assert!(matches!(&changes[..], [Change::Ban { out: true, .. }, Change::Kept { kept: Ok(()), .. }]));
     assert!(shared.is_held_out("s-2"));
-    assert!(shared.done(0, looked(None, &["s-1", "s-2"])).is_empty(), "a look tells it once more: no news");
+    assert!(shared.done(0, looked(None, &["s-1", "s-2"])).is_empty(), "the look shows nothing new");
 }
 
-/// Guards what was taken on while the disk errs: a duty that could not be told is told again, and a configuration that could not
-/// be read is read again; one that can't be used is not.
+/// Guards work that fails while the disk returns errors: a state that could not be published is published
+/// again, and a configuration that could not be read is read again. A configuration that was read but is
+/// invalid is not.
 #[test]
 fn what_has_failed_and_may_pass_is_tried_again() {
     let mut shared = Shared::new();
@@ -86,7 +89,7 @@
     shared.turn_to(Duty::Serving);
     assert_eq!(shared.next(0), Some(Task::Tell(Duty::Serving)));
     shared.done(0, Done::Told(Err("no space".to_owned())));
-    assert_eq!(shared.next(0), None, "not at once");
+    assert_eq!(shared.next(0), None, "not before the next look is due");
     shared.look(50_000);
     assert_eq!(shared.next(50_000), Some(Task::Tell(Duty::Serving)));
     shared.done(50_000, Done::Told(Ok(())));
--- a/crates/gradeshunt/src/shared/worker.rs
+++ b/crates/gradeshunt/src/shared/worker.rs
@@ -13,14 +13,14 @@
 use crate::config::Config;
 use crate::transient::is_transient;
 
-/// Tasks that may wait: more than [`super::Shared`] ever asks for at a time.
+/// Capacity of the task queue: more than [`super::Shared`] ever has under way at a time.
 const TASKS: usize = 32;
-/// Pause between two tries to open the files.
+/// Pause between two attempts to open the files.
 const OPEN_PAUSE: Duration = Duration::from_millis(100);
 
-/// Wakes the loop. That may fail without a word, as where the system takes no write.
+/// Wakes the event loop. This may fail silently, for instance when the write to the eventfd fails.
 pub trait Wake: Send {
-    /// The loop is to turn soon.
+    /// Makes the loop run another turn soon.
     fn wake(&self);
 }
 
@@ -37,8 +37,8 @@
 }
 
 impl Worker {
-    /// Starts the thread. It opens the files there, and tries again for as long as what keeps it from that may pass; it rereads the
-    /// configuration from `config`, and wakes the loop for all that is done.
+    /// Starts the thread. It opens the files, trying again for as long as the error is transient; it rereads
+    /// the configuration from `config`, and wakes the loop after each completed task.
     pub fn start(
         mut open: impl FnMut() -> io::Result<Box<dyn Files>> + Send + 'static,
         config: Option<PathBuf>,
@@ -74,13 +74,14 @@
         Ok(Worker { tasks, done })
     }
 
-    /// Never waits; false where the queue is full, and the task is lost.
+    /// Queues a task without blocking. Returns false, and drops the task, if the queue is full or the thread
+    /// has ended.
     #[must_use]
     pub fn ask(&self, task: Task) -> bool {
         self.tasks.try_send(task).is_ok()
     }
 
-    /// What is done, one after the other.
+    /// Returns the next completed task, if there is one.
     pub fn done(&self) -> Option<Done> {
         self.done.try_recv().ok()
     }
