--- a/crates/gradeshunt/src/accept_failure.rs
+++ b/crates/gradeshunt/src/accept_failure.rs
@@ -1,24 +1,24 @@
-//! Errors of accept(2), by what is to be done about them.
+//! Errors of accept(2), grouped by how to react to them.
 
 use std::io;
 
 use rustix::io::Errno;
 
-/// Why a connection was not accepted, as accept(2) tells it.
+/// Why a connection was not accepted, according to accept(2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// No connection waits.
+    /// No connection is waiting.
     NoneWaits,
-    /// The connection that waited has broken; the next one may be sound.
+    /// The waiting connection has broken; the next one may be sound.
     ThatConnection,
-    /// This process has no descriptor left: one of its own connections has to make room.
+    /// This process has no descriptor left: one of its own connections must be closed.
     Descriptors,
-    /// The system lacks something else, or refuses for a reason of its own: closing connections would not help.
+    /// The system lacks another resource, or refuses for another reason: closing connections would not help.
     System,
 }
 
 impl AcceptFailure {
-    /// Reads an error of accept(2).
+    /// Classifies an error of accept(2).
     pub fn of(e: &io::Error) -> AcceptFailure {
         match Errno::from_io_error(e) {
             Some(Errno::AGAIN) => AcceptFailure::NoneWaits,
--- a/crates/gradeshunt/src/cli.rs
+++ b/crates/gradeshunt/src/cli.rs
@@ -9,7 +9,7 @@
 
 use crate::routing::{rules, Origin};
 
-/// Bytes in which `classify` remembers shapes.
+/// Memory in which `classify` caches shapes, in bytes.
 const SHAPES: usize = 16 << 20;
 
 /// A proxy for replicated PostgreSQL.
@@ -18,10 +18,10 @@
 pub struct Arguments {
     #[command(subcommand)]
     pub(crate) command: Option<Command>,
-    /// How lines of the log are written.
+    /// Format of the log's lines.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     pub(crate) log_format: LogFormat,
-    /// What the log holds: `debug` adds all that the decisions hear and ask for.
+    /// What is logged: `debug` adds all events and actions of the decision library.
     #[arg(long, global = true, value_enum, default_value_t = LogLevel::Info)]
     pub(crate) log_level: LogLevel,
 }
@@ -40,32 +40,34 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve clients; the same as no command.
+    /// Serve clients; the same as without a command.
     Run {
-        /// The configuration; $ROUTER_CONFIG where it is not given.
+        /// The configuration file; by default $ROUTER_CONFIG.
         #[arg(long)]
         config: Option<PathBuf>,
     },
-    /// Check a configuration, without serving.
+    /// Check a configuration without serving.
     Check {
-        /// The file.
+        /// The configuration file.
         config: PathBuf,
     },
-    /// Tell what statements do: from the arguments, or one a line from standard input.
+    /// Classify SQL statements, from the arguments or one per line from standard input.
     Classify {
-        /// The operators' rules: their functions and types count, and the class of the first route that matches is told.
+        /// The operators' rules: their functions and types are taken into account, and the class of the first
+        /// matching route is printed.
         #[arg(long)]
         rules: Option<PathBuf>,
         #[arg(long, value_enum, default_value_t = ClassFormat::Json)]
         format: ClassFormat,
-        /// Statements on standard input are separated by NUL bytes, and may have several lines.
+        /// Statements on standard input are separated by NUL bytes and may span several lines.
         #[arg(long)]
         null: bool,
         sql: Vec<String>,
     },
-    /// Tell what becomes of the load when sites are lost. Ends with status 3 where a loss is not borne.
+    /// Plan how load is distributed when sites are lost. Exits with status 3 if a loss is not borne.
     Plan(crate::planning::Options),
-    /// Tell which proxies form groups and serve which sets, by the operators' file on placement.
+    /// Show which proxies form groups and which sets they serve, according to the operators' file on
+    /// placement.
     Placement(crate::placement_command::Options),
 }
 
@@ -75,7 +77,7 @@
     Json,
 }
 
-/// Where a statement may go.
+/// Returns the kind of db host that a statement may go to.
 fn target(access: Access) -> &'static str {
     if access == Access::Read {
         "replica"
@@ -102,10 +104,9 @@
     }
 }
 
-/// Classes statements, in the order in which they come.
-///
-/// # Errors
-/// Where the rules or standard input can't be read, or standard output can't be written.
+/// Classifies statements in input order.
+/// | # Errors
+/// If the rules or standard input can't be read, or standard output can't be written.
 pub fn classify(
     rules: Option<PathBuf>,
     format: ClassFormat,
@@ -113,7 +114,7 @@
     sql: Vec<String>,
 ) -> Result<(), String> {
     let (declared, routes) = rules.map_or_else(|| Ok(Default::default()), |file| rules::outline(&file))?;
-    // The same shape has the same number in every call: it is no secret here.
+    // A fixed key gives a shape the same number in every call: it needs no secrecy here.
     let mut classer = Classer::new(Key(0, 0), Catalogue::new(&declared), SHAPES);
     let mut out = BufWriter::new(io::stdout().lock());
     let mut tell = |statement: &str| {
@@ -135,14 +136,15 @@
                 break;
             }
             let end = if bytes.last() == Some(&separator) { bytes.len() - 1 } else { bytes.len() };
-            // What is no UTF-8 can't be a statement; its line is kept, so that answers and questions match.
+            // Input that is not UTF-8 can't be a statement; it still gets a line of output, so that output
+            // and input lines match.
             told = told.and_then(|()| tell(std::str::from_utf8(&bytes[..end]).unwrap_or("\0")));
         }
     } else {
         told = sql.iter().try_for_each(|s| tell(s));
     }
     match told.and_then(|()| out.flush()) {
-        // Whoever reads has enough.
+        // The reader has closed the pipe.
         Err(e) if e.kind() == io::ErrorKind::BrokenPipe => Ok(()),
         told => told.map_err(|e| format!("cannot write standard output: {e}")),
     }
--- a/crates/gradeshunt/src/clock/tests.rs
+++ b/crates/gradeshunt/src/clock/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the part named by the folder: distances of the clocks that the test sets.
+//! Tests of the clock, with offsets that the test sets.
 
 use super::*;
 
 const HOUR: Micros = 3_600_000_000;
 const SECOND: Micros = 1_000_000;
 
-/// A clock whose wall clock showed `offset` at its start.
+/// A clock that showed `offset` at its start.
 fn clock(offset: Micros) -> Clock {
     let segments = vec![Segment { from: Micros::MIN, offset }];
     Clock {
@@ -21,43 +21,47 @@
     unix as f64 / 1000.0
 }
 
-/// Guards against steps that are none, and against a candidate that counts before anybody has confirmed it.
+/// Guards against differences that are no step, and against a candidate that counts before it is confirmed.
 #[test]
 fn step_is_a_candidate_until_it_is_confirmed() {
     let mut clock = clock(HOUR);
     assert!(!clock.take_offset(HOUR + STEP_TOLERANCE, 1), "two readings differ a little");
     assert!(clock.take_offset(0, 2));
-    assert!(!clock.take_offset(10, 3), "it is known");
+    assert!(!clock.take_offset(10, 3), "the step is known");
     assert_eq!((clock.offset(), clock.candidate().map(|c| c.seen)), (HOUR, Some(2)));
     assert!(clock.is_in_doubt(2 + CANDIDATE_DOUBT) && !clock.is_in_doubt(3 + CANDIDATE_DOUBT));
     clock.confirm();
     assert_eq!((clock.offset(), clock.stepped_at(), clock.candidate()), (0, 2, None));
     assert!(clock.take_offset(HOUR, 9));
-    assert!(!clock.take_offset(0, 10) && clock.candidate().is_none(), "the clock is back where it was");
+    assert!(
+        !clock.take_offset(0, 10) && clock.candidate().is_none(),
+        "the clock is back at the offset in use"
+    );
 }
 
-/// Guards starts of db hosts and commits of sessions: each is read with the distance of its own time, and never as a moment to
-/// come.
+/// Guards starts of db hosts and commits of sessions: each is converted with the offset of its own time, and
+/// never to a moment in the future.
 #[test]
 fn time_is_read_with_the_distance_of_then() {
     let mut clock = clock(HOUR);
     let now = clock.now();
-    // All clocks are stepped forward by 10 s, 50 s ago.
+    // All clocks were stepped forward by 10 s, 50 s ago.
     clock.take_offset(HOUR + 10 * SECOND, now - 50 * SECOND);
     clock.confirm();
     let close = |unix: Micros, at: Micros| (clock.latest_at_unix_ms(ms(unix)) - at).abs() < SECOND / 10;
     let before = now - 60 * SECOND;
-    assert!(close(HOUR + before, before), "from before the step");
+    assert!(close(HOUR + before, before), "a time from before the step");
     let after = now - 20 * SECOND;
-    assert!(close(HOUR + 10 * SECOND + after, after), "from after it");
-    assert!(close(HOUR + 10 * SECOND + now + HOUR, now), "no start is to come");
+    assert!(close(HOUR + 10 * SECOND + after, after), "a time from after the step");
+    assert!(close(HOUR + 10 * SECOND + now + HOUR, now), "a start can't be in the future");
     assert!(
         close(HOUR + now - 45 * SECOND, now - 55 * SECOND),
-        "no clock has shown it: the latest distance counts"
+        "no clock has shown it: the latest offset counts"
     );
 }
 
-/// Guards the warmth of a db host that restarts after a step back: the latest moment that its start can mean counts.
+/// Guards slow start for a db host that restarts after a step back: the latest moment that its start can mean
+/// counts.
 #[test]
 fn ambiguous_time_is_the_latest_that_it_can_mean() {
     let mut clock = clock(HOUR);
@@ -71,7 +75,8 @@
     }
 }
 
-/// Guards a process that has started with its clock wrong: that clock goes on, and is corrected, without passing for a step of all.
+/// Guards a process that has started with a wrong clock: neither the wrong clock nor its later correction
+/// counts as a step of all clocks.
 #[test]
 fn clock_that_was_wrong_at_the_start_shows_no_step() {
     const OFF: Micros = 10_000_000;
@@ -81,10 +86,10 @@
     clock.hear_primary(1_000, right + 1_000);
     assert_eq!(clock.offset(), right);
     assert!(!clock.take_offset(wrong, 2_000) && clock.candidate().is_none());
-    // A step of all clocks is seen beside its error.
+    // A step of all clocks is seen in spite of the error.
     assert!(clock.take_offset(wrong + 3 * OFF, 3_000));
     assert_eq!(clock.candidate().map(|c| c.offset), Some(right + 3 * OFF));
-    // It is set right.
+    // The clock is corrected.
     assert!(!clock.take_offset(right, 4_000) && clock.candidate().is_none());
     assert!(clock.take_offset(wrong, 5_000));
 }
--- a/crates/gradeshunt/src/config.rs
+++ b/crates/gradeshunt/src/config.rs
@@ -14,47 +14,48 @@
 use crate::routing::{rules, Rules};
 use crate::transient::is_transient;
 
-/// An idle watch brings a line every 2 s: one silent for longer has broken, though its connection stands.
+/// Default silence. An idle watch delivers a line every 2 s: one that is silent for longer has broken, even
+/// if its connection is open.
 const SILENCE: Micros = 3_000_000;
 
-/// What the proxy is told at its start.
+/// The configuration that the proxy starts with.
 pub struct Config {
     /// The proxy's name, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// The descriptor on which the platform holds the clients' socket, where it does.
+    /// Descriptor of the clients' socket, if the platform holds it.
     pub listen_fd: Option<i32>,
-    /// Where discovery is called.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Address for operators' HTTP calls, if there is one.
     pub control: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed for random numbers.
     pub seed: u64,
-    /// File descriptors that the proxy may hold.
+    /// File descriptors that the proxy may use.
     pub sockets: usize,
-    /// Memory that it may take, in bytes.
+    /// Memory that the proxy may use, in bytes.
     pub memory: usize,
     /// How long discovery may be silent before a call to it counts as broken.
     pub silence: Micros,
-    /// The list of db hosts as this proxy last held it, in discovery's form; null where there is none.
+    /// The list of db hosts that this proxy last had, in discovery's format; null if there is none.
     pub known: Value,
-    /// The settings, as the decision module reads them.
+    /// The settings, as read by the decision library.
     pub facts: Facts,
-    /// How plain statements are routed, where the operators' file says so.
+    /// Routes of plain statements, if operators give a file for them.
     pub rules: Option<Rules>,
-    /// What is done at the loss of a site, where the operators' file says so.
+    /// Handling of a site's loss, if operators give a file for it.
     pub sites: Option<Sites>,
-    /// Which proxy serves which set, where the operators' file says so.
+    /// Placement of sets on proxies, if operators give a file for it.
     pub placement: Option<Placement>,
 }
 
 /// Why a configuration can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// In one line.
+    /// The reason, in one line.
     pub why: String,
-    /// A file can't be read now, and may be later.
+    /// Whether a file can't be read now and may be readable later.
     pub is_transient: bool,
 }
 
@@ -76,7 +77,7 @@
     }
 }
 
-/// Reads a file of the operators'.
+/// Reads one of the operators' files.
 fn read_file(path: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|e| ConfigError {
         why: format!("cannot read {}: {e}", path.display()),
@@ -85,10 +86,9 @@
 }
 
 impl Config {
-    /// Reads a file, or the one that the environment names.
-    ///
-    /// # Errors
-    /// Where a file can't be read, or what it says can't be used.
+    /// Reads the given file, or the one that the environment names.
+    /// | # Errors
+    /// If a file can't be read, or its contents are invalid.
     pub fn load(named: Option<&Path>) -> Result<Config, ConfigError> {
         let path = match named {
             Some(path) => path.to_owned(),
@@ -98,15 +98,15 @@
         Config::parse(&text).map_err(|e| ConfigError { why: format!("{}: {e}", path.display()), ..e })
     }
 
-    /// Names of the tenants for the figures: those of the settings, and behind them, where there are any, one for requests
-    /// without a tenant's name.
+    /// Returns the tenants' names for the metrics: those in the settings and, if there are any, a last one
+    /// for requests without a tenant's name.
     pub(crate) fn tenants(&self) -> Vec<String> {
         let mut tenants = self.facts.names.tenants.clone();
         tenants.extend((!tenants.is_empty()).then(|| "?".to_owned()));
         tenants
     }
 
-    /// What a check of it tells.
+    /// Describes the configuration in one line, for `gradeshunt check`.
     pub fn summary(&self) -> String {
         let classes = self.facts.names.classes.join(", ");
         let routes = self.rules.as_ref().map_or(0, |r| r.routes.len());
@@ -125,7 +125,8 @@
             let text = text(key)?;
             text.parse().map_err(|_| format!("{key} is not an address: {text:?}"))
         };
-        // The processes of an upgrade may read one file, and differ in this address only by their environment.
+        // During an upgrade the processes may read one file, and differ in this address only by their
+        // environment.
         let named = std::env::var("ROUTER_CONTROL").ok().filter(|a| !a.is_empty());
         let control = match named {
             Some(a) => Some(a.parse().map_err(|_| format!("ROUTER_CONTROL is not an address: {a:?}"))?),
@@ -133,8 +134,8 @@
             None => Some(addr("control")?),
         };
         let fd = std::env::var("ROUTER_LISTEN_FD").ok().filter(|fd| !fd.is_empty());
-        let fd = fd.map(|fd| fd.parse().map_err(|_| format!("ROUTER_LISTEN_FD is no descriptor: {fd:?}")));
-        // Operators' files, by the environment or by the configuration.
+        let fd = fd.map(|fd| fd.parse().map_err(|_| format!("ROUTER_LISTEN_FD is not a descriptor: {fd:?}")));
+        // Operators' files are named by the environment or by the configuration.
         let file = |variable: &str, key: &str| {
             let named = std::env::var(variable).ok().filter(|f| !f.is_empty());
             named.or_else(|| value.get(key).and_then(Value::as_str).map(str::to_owned))
@@ -182,25 +183,25 @@
     }
 }
 
-/// The operators' file on plain statements.
+/// Reads the operators' file on plain statements.
 fn read_rules(file: &str, facts: &Facts) -> Result<Rules, ConfigError> {
     Ok(rules::parse(&read_file(Path::new(file))?, facts).map_err(|e| format!("{file}:{e}"))?)
 }
 
-/// The operators' file on placement.
+/// Reads the operators' file on placement.
 fn read_placement(file: &str, own_name: &str) -> Result<Placement, ConfigError> {
     let text = read_file(Path::new(file))?;
     let placement = Placement::parse(file, &text, own_name).map_err(|e| e.to_string())?;
     let own = placement.proxy(placement.own());
     if own.is_none_or(|proxy| proxy.address.is_none()) {
         return Err(
-            format!("{file}: proxy {own_name:?} is this one, and has no address for other proxies").into()
+            format!("{file}: proxy {own_name:?} is this one and has no address for other proxies").into()
         );
     }
     Ok(placement)
 }
 
-/// The operators' file on sites. Plans are made here, away from the loop.
+/// Reads the operators' file on sites. The plans are computed here, outside the event loop.
 fn read_sites(file: &str, facts: &Facts) -> Result<Sites, ConfigError> {
     let text = read_file(Path::new(file))?;
     Ok(Sites::new(&text, facts, 0).map_err(|e| format!("{file}:{e}"))?)
--- a/crates/gradeshunt/src/figures.rs
+++ b/crates/gradeshunt/src/figures.rs
@@ -1,10 +1,10 @@
-//! What operators are shown of requests: counts since the start, and what is now.
+//! Request metrics for operators: counters since the start, and current values.
 
 use std::collections::BTreeMap;
 
 use leadmast::invariant::Violations;
 
-/// How requests have ended: those of a class since the start, or all since the last summary.
+/// Requests by outcome: those of one class since the start, or all since the last summary.
 #[derive(Clone, Copy, Default)]
 pub struct Count {
     pub served: u64,
@@ -12,42 +12,45 @@
     pub failed: u64,
 }
 
-/// How a tenant's requests have ended, since the start.
+/// Requests of one tenant by outcome since the start, within and beyond its share.
 #[derive(Clone, Copy, Default)]
 pub struct TenantCount {
     pub within: Count,
-    /// Beyond its share.
+    /// Requests beyond the tenant's share.
     pub beyond: Count,
 }
 
-/// What operators are shown: counts since the start, and what is now.
+/// Metrics for operators: counters since the start, and current values.
 #[derive(Clone, Default)]
 pub struct Figures {
     pub classes: Vec<Count>,
-    /// As the settings name them; behind them, where they name any, what came without a tenant's name.
+    /// By tenant in the order of the settings; if there are any, a last entry for requests without a tenant's
+    /// name.
     pub tenants: Vec<TenantCount>,
-    /// Attempts written whole to db hosts.
+    /// Attempts written completely to db hosts.
     pub dispatches: u64,
-    /// Requests whose client left before any attempt was written, and those of them sent on all the same.
+    /// Requests whose client left before any attempt was written, and those of them that were sent all the
+    /// same.
     pub gone_unsent: u64,
     pub sent_after_gone: u64,
-    /// Requests refused because their wait was over when their turn came, behind others on their connection.
+    /// Requests refused because their wait had ended by the time they were read, behind others on their
+    /// connection.
     pub expired_unsent: u64,
-    /// What broke a rule, by rule: a sound program counts none.
+    /// Violations of invariants, by rule: a correct program counts none.
     pub violations: Violations,
-    /// Attempts that were not begun, or not written, by reason.
+    /// Attempts that were not begun or not written, by reason.
     pub denials: BTreeMap<&'static str, u64>,
-    /// Further attempts, by how the one before ended.
+    /// Retries, by the outcome of the attempt before.
     pub retries: BTreeMap<&'static str, u64>,
     /// Requests that were not served, by outcome and reason.
     pub reasons: BTreeMap<(&'static str, &'static str), u64>,
-    /// Answers that might have been second copies, by whose they were.
+    /// Answers that were checked for being duplicates, by what the check found.
     pub answer_checks: BTreeMap<&'static str, u64>,
-    /// Clients' connections that were closed from here, by reason.
+    /// Clients' connections that the proxy closed, by reason.
     pub closes: BTreeMap<&'static str, u64>,
-    /// Requests taken and not ended.
+    /// Requests accepted and not completed.
     pub concurrent: u64,
-    /// Db hosts on the list, and those of them that get nothing new.
+    /// Db hosts on the list, and those of them that get no new requests.
     pub targets: u64,
     pub avoided: u64,
 }
--- a/crates/gradeshunt/src/ids.rs
+++ b/crates/gradeshunt/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers of the proxy's connections, calls and attempts; none is used twice.
+//! Ids of the proxy's connections, calls and attempts; none is reused.
 
 use leadmast::RequestId;
 
--- a/crates/gradeshunt/src/lib.rs
+++ b/crates/gradeshunt/src/lib.rs
@@ -1,7 +1,7 @@
-//! gradeshunt: a proxy for replicated PostgreSQL. The module `leadmast` decides; this program is its sockets.
-//!
-//! A library so that measurements can run the parts that a proxy spends on control, without its sockets. What is public
-//! serves those measurements and the program's `main`; it is no interface for anybody else.
+//! gradeshunt: a proxy for replicated PostgreSQL. The library `leadmast` makes the decisions; this crate does
+//! the I/O.
+//! | It is a library so that measurements can run a proxy's control work without its sockets. The public
+//! items serve those measurements and the program's `main` only; they are not a stable interface.
 
 mod accept_failure;
 mod backend;
--- a/crates/gradeshunt/src/logging.rs
+++ b/crates/gradeshunt/src/logging.rs
@@ -8,24 +8,25 @@
 
 use crate::cli::{LogFormat, LogLevel};
 
-/// Lines of the log that may wait to be written.
+/// Lines that may wait to be written.
 const LINES: usize = 4096;
 /// The tag of a process's last line.
 pub const LAST: &str = "last";
 
-/// Where lines go: a thread writes them.
+/// The log and the thread that writes it.
 pub struct Log {
     pub logger: Logger,
-    /// Its drop waits for all that is to be written.
+    /// Dropping it waits until all lines are written.
     guard: AsyncGuard,
     last: Receiver<()>,
 }
 
 impl Log {
-    /// The log of the proxy named so.
+    /// Opens the log of the proxy with this name.
     pub fn open(format: LogFormat, level: LogLevel, proxy: &str) -> Log {
-        // Lines that the log's reader is too slow for are dropped and counted: it must never hold up the loop. One that can't be
-        // written, as on a full disk, is lost: to take that for a fault of the drain would end its thread.
+        // Lines are dropped and counted if the log's reader is too slow: the log must never hold up the event
+        // loop. Errors of writing, such as on a full disk, are ignored and lose the line: treated as errors
+        // of the drain they would end its thread.
         let stderr = std::io::stderr();
         let (written, last) = sync_channel(1);
         let (drain, guard) = match format {
@@ -48,16 +49,17 @@
         Log { logger, guard, last }
     }
 
-    /// Ends the log of a process that has logged its last line: waits until that is written, but no longer than until then for
-    /// a reader who reads nothing. What is not written by then is lost, as SIGKILL would lose it.
+    /// Ends the log of a process that has logged its last line: waits until that line is written, but no
+    /// longer than `by` in case the reader does not read. Lines not written by then are lost, as they would
+    /// be at SIGKILL.
     pub fn end(self, by: Instant) {
-        // Lines are dropped where too many wait, and the last one may be among them.
+        // Lines are dropped when too many wait, and the last one may be among them.
         let _ = self.last.recv_timeout(by.saturating_duration_since(Instant::now()));
         std::mem::forget(self.guard);
     }
 }
 
-/// Lines, and word of the last one.
+/// Writes lines, and signals when the last one is written.
 struct LastLine<D> {
     lines: D,
     written: SyncSender<()>,
--- a/crates/gradeshunt/src/loop_stats.rs
+++ b/crates/gradeshunt/src/loop_stats.rs
@@ -1,5 +1,6 @@
-//! How the loop fares: its turns, what they are spent on, and how late it wakes. While a turn lasts nobody else is
-//! served, so a long one is told, with what it was spent on and what the system says of it.
+//! Statistics of the event loop: its turns, what the time goes to, and how late it wakes. During a turn
+//! nothing else is served, so a long one is logged together with what it was spent on and the system's
+//! statistics.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,14 +10,15 @@
 
 use crate::proc_stats::{ProcStats, Sample};
 
-/// A turn that takes longer is told in the log.
+/// A turn that takes longer is logged.
 const SLOW: Micros = 50_000;
-/// What stands unread for less is not counted.
+/// Shorter times of waiting to be read count as zero.
 const BRIEF: Micros = 5_000;
 /// Greatest age of the sample that a long turn is compared with, as long as turns are short.
 const SAMPLE_AGE: Micros = 50_000;
 
-/// The longest of something in a span of the summary's length, and in the span before it: so that a scrape misses none.
+/// The longest of some times in the current summary interval and in the one before, so that no scrape misses
+/// one.
 #[derive(Clone, Copy, Debug, Default)]
 struct Longest {
     now: Micros,
@@ -39,14 +41,14 @@
     }
 }
 
-/// One turn as it was.
+/// Record of one turn.
 #[derive(Debug, PartialEq, Eq)]
 struct TurnRecord {
-    /// From the wake-up to the end.
+    /// Time from the wake-up to the end.
     took: Micros,
-    /// How long after it should have woken, and could have, it did.
+    /// How late the loop woke, counted from when it should and could have.
     late: Micros,
-    /// What it was spent on: each kind of source, its part, and how often it came.
+    /// What the turn was spent on: each kind of source, its time, and its number of events.
     parts: Vec<(&'static str, Micros, u32)>,
 }
 
@@ -57,7 +59,7 @@
     start: Micros,
     last: Micros,
     late: Micros,
-    /// How long the turn before this one took.
+    /// How long the previous turn took.
     former: Micros,
     spent: BTreeMap<&'static str, (Micros, u32)>,
     turns: u64,
@@ -86,9 +88,9 @@
         }
     }
 
-    /// A turn begins; it should have begun by `until`, where there was a deadline.
+    /// Begins a turn, which should have begun by `until` if there was a deadline.
     pub fn begin(&mut self, now: Micros, until: Option<Micros>) {
-        // What fell due while the turn before it lasted is that turn's fault.
+        // What fell due during the previous turn is that turn's lateness.
         self.late = until.map_or(0, |at| (now - at.max(self.last)).max(0));
         self.former = self.last - self.start;
         (self.start, self.last) = (now, now);
@@ -97,13 +99,13 @@
         }
     }
 
-    /// How long what is read in this turn may have stood unread: it has come at any time since the turn before it
-    /// began to work, or since the loop should have woken. Short times are no news, and count as none.
+    /// Returns how long the data read in this turn may have waited unread: it arrived at any time since the
+    /// previous turn began its work, or since the loop should have woken. Short times count as zero.
     pub fn unread(&self) -> Micros {
         Some(self.late.max(self.former)).filter(|t| *t > BRIEF).unwrap_or(0)
     }
 
-    /// One source of it, or deadline, is worked off.
+    /// Records that an event of this source, or a deadline, has been handled.
     pub fn worked(&mut self, name: &'static str, now: Micros) {
         let (took, times) = self.spent.entry(name).or_default();
         *took += now - self.last;
@@ -111,7 +113,7 @@
         self.last = now;
     }
 
-    /// The turn ends.
+    /// Ends the turn, and logs it if it was long or late.
     pub fn end(&mut self, log: &Logger) {
         let turn = self.record_turn();
         if turn.took <= SLOW && turn.late <= SLOW {
@@ -143,7 +145,7 @@
         TurnRecord { took, late: self.late, parts }
     }
 
-    /// Sums up in the log, and begins a new span.
+    /// Logs a summary, and begins a new interval.
     pub fn log_summary(&mut self, log: &Logger) {
         let worst = self.by_source.iter().max_by_key(|(_, l)| l.now);
         info!(log, "loop"; "turns" => self.turns, "longest_us" => self.longest.now, "latest_us" => self.latest.now,
@@ -153,7 +155,8 @@
         self.by_source.values_mut().for_each(Longest::pass);
     }
 
-    /// The figures as text: times in microseconds, the longest of the last 10 to 20 s and since the start.
+    /// Returns the statistics as text: times in microseconds, the longest of the last 10 to 20 s and since
+    /// the start.
     pub fn exposition(&self) -> String {
         let mut text = format!(
             "# TYPE app_loop_turns counter\napp_loop_turns {}\n# TYPE app_loop_slow_turns counter\napp_loop_slow_turns {}\n",
--- a/crates/gradeshunt/src/loop_stats/tests.rs
+++ b/crates/gradeshunt/src/loop_stats/tests.rs
@@ -1,8 +1,9 @@
-//! Tests of the part named by the folder.
+//! Tests of the loop's statistics.
 
 use super::*;
 
-/// Guards what a long turn is blamed on: the source that took most, and no lateness that was its own.
+/// Guards the causes given for a long turn: the source that took most is named first, and lateness due to the
+/// previous turn is not counted.
 #[test]
 fn a_turn_is_told_by_its_parts() {
     let mut loop_stats = LoopStats::new(0);
@@ -17,9 +18,9 @@
     assert_eq!(
         loop_stats.record_turn().late,
         500,
-        "the turn before it was long; the poll was late by this much only"
+        "the previous turn was long; the poll was late by only this much"
     );
-    assert_eq!(loop_stats.unread(), 63_000, "what is read now may have come when that turn began");
+    assert_eq!(loop_stats.unread(), 63_000, "what is read now may have arrived when that turn began");
     loop_stats.begin(70_000, Some(69_000));
     assert_eq!(loop_stats.unread(), 0);
     loop_stats.begin(90_000, Some(80_000));
@@ -29,7 +30,7 @@
     assert!(text.contains("app_loop_longest_source_us{source=\"db host\",span=\"late\"} 60000\n"), "{text}");
 }
 
-/// Guards a scrape that comes just behind a summary: the span before it is still shown, the one before that is not.
+/// Guards a scrape just after a summary: the interval before it is still shown, the one before that is not.
 #[test]
 fn figures_are_of_late() {
     let mut longest = Longest::default();
--- a/crates/gradeshunt/src/main.rs
+++ b/crates/gradeshunt/src/main.rs
@@ -1,4 +1,4 @@
-//! The program's arguments and exit code; all else is the library's.
+//! Parses the program's arguments and sets its exit code; everything else is in the library.
 
 use std::process::ExitCode;
 
--- a/crates/gradeshunt/src/memory.rs
+++ b/crates/gradeshunt/src/memory.rs
@@ -1,4 +1,4 @@
-//! What the buffers hold together: each of them is bounded, but all at their bounds would be too much.
+//! Total memory of the buffers: each one is bounded, but all of them at their bounds would be too much.
 
 use std::cell::Cell;
 
@@ -6,12 +6,12 @@
     static HELD: Cell<usize> = const { Cell::new(0) };
 }
 
-/// Bytes that all buffers hold.
+/// Returns the bytes that all buffers hold.
 pub fn held() -> usize {
     HELD.get()
 }
 
-/// The bytes that one buffer holds; they count until it is dropped.
+/// Bytes that one buffer holds; they count until it is dropped.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Held(usize);
 
--- a/crates/gradeshunt/src/placement_command.rs
+++ b/crates/gradeshunt/src/placement_command.rs
@@ -1,4 +1,5 @@
-//! `gradeshunt placement`: the groups of the fleet in the operators' file, with the homes, loads and connections in each.
+//! `gradeshunt placement`: prints the groups of the fleet in the operators' file, with the homes, loads and
+//! connections of each.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -7,20 +8,19 @@
 use clap::Args;
 use gradeshunt_placement::{Fleet, Group, Homes, Member};
 
-/// What the operators' file on placement comes to.
+/// Options of `gradeshunt placement`.
 #[derive(Args, Debug)]
 pub struct Options {
     /// The operators' file on placement.
     file: PathBuf,
-    /// Connections that a db host bears from the whole fleet.
+    /// Connections that a db host supports from the whole fleet.
     #[arg(long, default_value_t = 128)]
     host_connections: u32,
 }
 
 /// Prints the groups.
-///
-/// # Errors
-/// Where the file can't be read, says nothing that can be placed, or standard output can't be written.
+/// | # Errors
+/// If the file can't be read or describes no valid placement, or standard output can't be written.
 pub fn place(options: &Options) -> Result<(), String> {
     let file = options.file.display().to_string();
     let text =
@@ -29,7 +29,7 @@
     let told: String =
         fleet.groups().iter().map(|group| table(&fleet, group, options.host_connections)).collect();
     match std::io::stdout().write_all(told.as_bytes()) {
-        // Whoever reads has enough.
+        // The reader has closed the pipe.
         Err(error) if error.kind() != std::io::ErrorKind::BrokenPipe => {
             Err(format!("cannot write standard output: {error}"))
         }
@@ -37,7 +37,7 @@
     }
 }
 
-/// A group's proxies, then its sets.
+/// Formats a group's proxies, then its sets.
 fn table(fleet: &Fleet, group: &Group, host_connections: u32) -> String {
     let homes = fleet.homes(group);
     let mut lines = format!("group {}: {} proxies\n", group.id, group.proxies.len());
--- a/crates/gradeshunt/src/placing.rs
+++ b/crates/gradeshunt/src/placing.rs
@@ -1,5 +1,5 @@
-//! Placement, carried out: which requests are sent on to a home proxy, and which of the homes can be had. What the homes are
-//! `gradeshunt_placement` says; docs/placement.md tells the mechanism.
+//! Applies a placement: decides which requests are forwarded to a home proxy, and which homes are available.
+//! `gradeshunt_placement` determines the homes; docs/placement.md describes the mechanism.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -8,15 +8,15 @@
 use gradeshunt_placement::{Acting, Bucket, DirectSets, Member, Placement, Route, Source, BUCKETS};
 use leadmast::{GroupId, MemberId, Micros, Settings};
 
-/// Who a proxy is to another one; its name comes as `application_name`.
+/// User name under which a proxy connects to another one; its own name goes into `application_name`.
 pub const PEER_USER: &str = "gradeshunt";
-/// Numbers of proxies among the members that connections are held to. Db hosts are numbered from 0 on.
+/// First member number of proxies. Db hosts are numbered from 0 on.
 const FIRST_PEER: u32 = 1 << 31;
-/// A proxy that can't be had is tried again after the connect time-out, and then after twice as long each time, up to this
-/// many times as long.
+/// An unavailable proxy is tried again after the connect time-out, and then after twice as long each time, up
+/// to this many times as long.
 const LONGEST_BACKOFF: i64 = 32;
 
-/// Whether a member is a proxy, and no db host.
+/// Whether a member is a proxy rather than a db host.
 pub fn is_peer(member: MemberId) -> bool {
     member.0 >= FIRST_PEER
 }
@@ -26,65 +26,65 @@
 pub struct Peer {
     /// Its name in the roster.
     pub name: String,
-    /// Its number, which stays as long as this process lives.
+    /// Its member number, which stays the same for as long as this process lives.
     pub member: MemberId,
-    /// Where other proxies reach it.
+    /// Its address for other proxies.
     pub address: SocketAddr,
 }
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// To the set's db hosts, from here.
+    /// To the set's db hosts, from this proxy.
     Here,
-    /// To this proxy.
+    /// To another proxy.
     SendOn(MemberId),
-    /// Nowhere: no home can be had, and enough sets go to their db hosts from here already.
+    /// Nowhere: no home is available, and enough sets go to their db hosts from here already.
     Refuse,
 }
 
-/// How a proxy has fared of late.
+/// Recent availability of a proxy.
 #[derive(Clone, Copy, Debug, Default)]
 struct Health {
-    /// When it last answered, if it has.
+    /// When it last answered, if it ever has.
     heard: Option<Micros>,
-    /// Failures since then.
+    /// Failures since its last answer.
     failures: u32,
-    /// Until when it is passed over.
+    /// Time until which it is not tried.
     until: Micros,
 }
 
 /// How requests were placed since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests of clients served here, as a home of their set.
+    /// Requests of clients served here as a home of their set.
     pub home: u64,
-    /// Requests of clients sent on to another proxy, each try counted.
+    /// Requests of clients forwarded to another proxy, counting each attempt.
     pub sent_on: u64,
-    /// Requests that came from another proxy.
+    /// Requests that another proxy forwarded to this one.
     pub taken: u64,
     /// Requests of clients served here though this proxy is no home of their set.
     pub direct: u64,
-    /// Requests refused since no home could be had.
+    /// Requests refused because no home was available.
     pub refused: u64,
 }
 
-/// The part of this proxy in the placement, and what it knows of the others.
+/// This proxy's part in the placement, and what it knows of the other proxies.
 pub struct Placing {
     placement: Placement,
     direct: DirectSets,
-    /// Numbers of all proxies that were ever named, so that none is given to another one.
+    /// Numbers of all proxies ever named, so that no number is reused for another proxy.
     numbers: BTreeMap<String, MemberId>,
     health: BTreeMap<MemberId, Health>,
     connect_timeout: Micros,
-    /// By what the budgets of this process divide, where they divide by homes.
+    /// Divisor of this process's budgets, if they are divided by homes.
     divisor_in_force: Option<u64>,
-    /// What came of it.
+    /// How requests were placed.
     pub counts: Counts,
 }
 
 impl Placing {
-    /// By a placement; a proxy that can't be had is tried again after `connect_timeout` at the earliest.
+    /// Applies a placement; an unavailable proxy is tried again after `connect_timeout` at the earliest.
     pub fn new(placement: Placement, connect_timeout: Micros) -> Placing {
         let direct = DirectSets::new(placement.settings().direct_sets);
         let mut placing = Placing {
@@ -100,7 +100,7 @@
         placing
     }
 
-    /// The operators' file was read anew: what is known of the proxies stays, and so do the counts.
+    /// Applies a reread file: the health of the proxies and the counts are kept.
     pub fn replace(&mut self, placement: Placement) {
         self.direct = DirectSets::new(placement.settings().direct_sets);
         self.placement = placement;
@@ -114,17 +114,17 @@
         }
     }
 
-    /// The own name.
+    /// Returns this proxy's name.
     pub fn own_name(&self) -> &str {
         self.placement.proxy(self.placement.own()).map_or("", |proxy| &proxy.name)
     }
 
-    /// Where this proxy listens for others, if anywhere.
+    /// Returns the address at which this proxy listens for others, if there is one.
     pub fn own_address(&self) -> Option<SocketAddr> {
         self.placement.proxy(self.placement.own()).and_then(|proxy| proxy.address)
     }
 
-    /// The other proxies of the group that can be reached.
+    /// Returns the other proxies of the group that have an address.
     pub fn peers(&self) -> Vec<Peer> {
         let own = self.own_name();
         let others = self.placement.proxies().iter().filter(|proxy| proxy.name != own);
@@ -135,12 +135,13 @@
         others.filter_map(peer).collect()
     }
 
-    /// The names of all proxies of the own group, which may send requests on to this one.
+    /// Returns the names of all proxies of this proxy's group, which may forward requests to it.
     pub fn group_names(&self) -> BTreeSet<String> {
         self.placement.proxies().iter().map(|proxy| proxy.name.clone()).collect()
     }
 
-    /// Where a client's request goes; `tried`: the proxies that it was sent on to in vain.
+    /// Decides where a client's request goes; `tried` holds the proxies that it was forwarded to without
+    /// success.
     pub fn decide(&mut self, now: Micros, group: GroupId, bucket: Bucket, tried: &[MemberId]) -> Decision {
         let available = |member: Member| {
             let number = self.number(member);
@@ -185,16 +186,18 @@
         self.health.get(&peer).is_none_or(|health| health.until <= now)
     }
 
-    /// Whether a proxy has answered something within the connect time-out: it serves, however long one request takes.
+    /// Whether a proxy has answered something within the connect time-out, which shows that it serves even if
+    /// one request takes long.
     pub fn is_heard(&self, now: Micros, peer: MemberId) -> bool {
         let heard = self.health.get(&peer).and_then(|health| health.heard);
         heard.is_some_and(|at| now - at < self.connect_timeout)
     }
 
-    /// A proxy could not be reached, or has fallen silent. True where it was available until now.
+    /// Records that a proxy could not be reached or has fallen silent. Returns true if it was available until
+    /// now.
     pub fn failed(&mut self, now: Micros, peer: MemberId) -> bool {
         let health = self.health.entry(peer).or_default();
-        // Requests that were out together fail together: they are one failure.
+        // Requests that were under way together fail together and count as one failure.
         if health.until > now {
             return false;
         }
@@ -204,19 +207,20 @@
         true
     }
 
-    /// The name of a proxy, for the log.
+    /// Returns the name of a proxy, for the log.
     pub fn name(&self, peer: MemberId) -> Option<&str> {
         self.numbers.iter().find(|(_, number)| **number == peer).map(|(name, _)| name.as_str())
     }
 
-    /// A proxy has answered a request of this set.
+    /// Records that a proxy has answered a request of this set.
     pub fn answered(&mut self, now: Micros, peer: MemberId, group: GroupId) {
         self.health.insert(peer, Health { heard: Some(now), ..Health::default() });
         self.direct.end(group.0);
     }
 
-    /// Settings with the budgets that are bounded over the fleet divided by the homes of a set instead of all proxies. The
-    /// largest divisor of all sets is taken, so that no sum exceeds its bound. A tenant's share divides by the proxies as before.
+    /// Divides the budgets that are bounded over the fleet by the homes of a set instead of by all proxies.
+    /// The largest divisor of all sets is used, so that no sum exceeds its bound. A tenant's share is still
+    /// divided by all proxies.
     pub fn divide_budgets(mut self, settings: &mut Settings) -> Placing {
         self.divisor_in_force = Some(self.divisor());
         let divisor = u32::try_from(self.divisor()).unwrap_or(u32::MAX);
@@ -228,25 +232,26 @@
         self
     }
 
-    /// Whether the placement asks for smaller budgets than this process has, which follow from the next start on.
+    /// Whether the placement requires smaller budgets than this process has; they take effect at the next
+    /// start.
     pub fn needs_restart(&self) -> bool {
         self.divisor_in_force.is_some_and(|in_force| in_force < self.divisor())
     }
 
-    /// By what budgets that are bounded over the fleet divide, by the placement.
+    /// Returns the divisor of budgets bounded over the fleet, according to the placement.
     fn divisor(&self) -> u64 {
         let listed = self.placement.sets().clusters().map(|set| self.placement.divisor(set, Acting::Home));
         let unlisted = self.placement.divisor(u64::MAX, Acting::Home);
         listed.max().unwrap_or(unlisted)
     }
 
-    /// One line for the log.
+    /// Describes the placement in one line for the log.
     pub fn summary(&self) -> String {
         let count = self.placement.proxies().len();
         format!("group {} of {count} proxies", self.placement.group())
     }
 
-    /// The counts as metrics in Prometheus' text format.
+    /// Returns the counts as metrics in Prometheus' text format.
     pub fn metrics(&self) -> String {
         let Counts { home, sent_on, taken, direct, refused } = self.counts;
         let ways = [
@@ -263,7 +268,7 @@
         text
     }
 
-    /// What operators are shown: the group, its proxies with how they fare, counts.
+    /// Returns the status that operators see: the group, its proxies with their availability, and the counts.
     pub fn exposition(&self, now: Micros) -> String {
         let mut text = format!(
             "group {}\nself {}\ndivisor {}\n",
@@ -291,7 +296,8 @@
     }
 }
 
-/// The session bucket of a request: that of its session's key, or any where it has none.
+/// Returns the session bucket of a request: that of its session's key, or of the request's number if it has
+/// none.
 pub fn bucket(group: GroupId, key: Option<u64>, request: u64) -> Bucket {
     let key = key.unwrap_or(request);
     let hash = leadmast::settings::fnv(&format!("{} {key}", group.0));
--- a/crates/gradeshunt/src/placing/tests.rs
+++ b/crates/gradeshunt/src/placing/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the part named by the folder.
+//! Tests of placement decisions.
 
 use super::*;
 
-/// Two proxies beside the own one, in one group of which each set has two homes.
+/// This proxy and two others in one group, in which each set has two homes.
 fn placing(own: &str) -> Placing {
     let proxies = ["a", "b", "c"].map(|name| {
         let port = 1000 + u16::from(name.as_bytes()[0]);
@@ -13,7 +13,7 @@
     Placing::new(Placement::parse("test", &text, own).expect("a placement"), 1_000)
 }
 
-/// Sets of which the own proxy is no home.
+/// Sets of which this proxy is no home.
 fn foreign_sets(placing: &mut Placing) -> Vec<GroupId> {
     let sets = (1..).map(GroupId);
     let foreign = |set: &GroupId| placing.decide(0, *set, Bucket::new(0), &[]) != Decision::Here;
@@ -27,14 +27,15 @@
     }
 }
 
-/// Guards the pause of a proxy that can't be had: it doubles, failures within it count once, and an answer ends it.
+/// Guards the back-off of an unavailable proxy: it doubles, failures within it count once, and an answer ends
+/// it.
 #[test]
 fn unavailable_home_is_passed_over_for_longer_each_time() {
     let mut placing = placing("a");
     let set = foreign_sets(&mut placing)[0];
     let first = home(&mut placing, 0, set, &[]);
     assert!(placing.failed(0, first));
-    assert!(!placing.failed(999, first), "what was out with it fails with it");
+    assert!(!placing.failed(999, first), "requests under way together count as one failure");
     assert_ne!(home(&mut placing, 999, set, &[]), first);
     assert_eq!(home(&mut placing, 1_000, set, &[]), first);
     assert!(placing.failed(1_000, first));
@@ -44,7 +45,8 @@
     assert!(placing.is_heard(3_998, first) && !placing.is_heard(3_999, first));
 }
 
-/// Guards the bound on sets that go to their db hosts from a proxy that is no home of theirs, and its end.
+/// Guards the bound on the sets that go direct, from a proxy that is not their home: it holds, and a set
+/// stops going direct once a home answers.
 #[test]
 fn sets_go_direct_up_to_their_number_and_only_while_no_home_can_be_had() {
     let mut placing = placing("a");
@@ -54,15 +56,20 @@
     let second = home(&mut placing, 0, one, &[first]);
     let all = [first, second];
     assert_eq!(placing.decide(0, one, Bucket::new(0), &all), Decision::Here);
-    assert_eq!(placing.decide(0, one, Bucket::new(0), &all), Decision::Here, "it goes direct already");
+    assert_eq!(placing.decide(0, one, Bucket::new(0), &all), Decision::Here, "the set goes direct already");
     assert_eq!(placing.decide(0, other, Bucket::new(0), &all), Decision::Refuse);
     placing.answered(0, first, one);
-    assert_eq!(placing.decide(0, other, Bucket::new(0), &all), Decision::Here, "there is room again");
+    assert_eq!(
+        placing.decide(0, other, Bucket::new(0), &all),
+        Decision::Here,
+        "another set may go direct again"
+    );
     let counts = placing.counts;
     assert_eq!((counts.direct, counts.refused), (3, 1));
 }
 
-/// Guards tenants' shares and the budgets of db hosts: these divide by the homes over all groups, those by all proxies.
+/// Guards the division of budgets: those of db hosts are divided by the homes over all groups, tenants'
+/// shares by all proxies.
 #[test]
 fn budgets_divide_by_homes_and_shares_by_proxies() {
     let config = std::fs::read_to_string("../../examples/shared.json").expect("the example");
@@ -71,7 +78,7 @@
     settings.fleet = 3_400;
     let before: Vec<f64> = settings.tenants.iter().map(|t| t.rate / f64::from(settings.fleet)).collect();
     let placing = placing("a").divide_budgets(&mut settings);
-    // One group, two versions of the roster with two homes each, and a slot for those that go direct.
+    // One group, two versions of the roster with two homes each, and one slot for sets that go direct.
     assert_eq!(settings.fleet, 5);
     let after: Vec<f64> = settings.tenants.iter().map(|t| t.rate / f64::from(settings.fleet)).collect();
     assert!(!before.is_empty() && before.iter().zip(&after).all(|(a, b)| (a - b).abs() < 1e-9 * a));
--- a/crates/gradeshunt/src/planning.rs
+++ b/crates/gradeshunt/src/planning.rs
@@ -1,4 +1,4 @@
-//! `gradeshunt plan`: what becomes of the load when sites are lost, as a table, as JSON, as a picture.
+//! `gradeshunt plan`: computes how load is distributed when sites are lost, as a table, JSON or a picture.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -10,17 +10,18 @@
 use plotters::prelude::*;
 use serde_json::{json, Value};
 
-/// Plans for losses.
+/// Options of `gradeshunt plan`.
 #[derive(Args, Debug)]
 pub struct Options {
     /// The operators' file on sites.
     file: PathBuf,
-    /// A site that is lost; given several times, they are lost together. Without it, each site and each two.
+    /// A lost site; several of them are lost together. Without it, each site and each pair of sites is
+    /// planned for.
     #[arg(long, value_name = "SITE")]
     lose: Vec<String>,
     #[arg(long, value_enum, default_value_t = Format::Text)]
     format: Format,
-    /// Draws, for each loss, what is used of each site: an SVG file.
+    /// Write an SVG file that shows, for each loss, how much of each site is used.
     #[arg(long, value_name = "FILE")]
     plot: Option<PathBuf>,
 }
@@ -31,10 +32,9 @@
     Json,
 }
 
-/// Prints the plans; tells whether all losses are borne.
-///
-/// # Errors
-/// Where the file can't be read or says nothing that can be planned.
+/// Prints the plans; returns whether all losses are borne.
+/// | # Errors
+/// If the file can't be read or doesn't describe a layout that can be planned.
 pub fn plan(options: &Options) -> Result<bool, String> {
     let Options { file, lose, format, plot } = options;
     let text = std::fs::read_to_string(file).map_err(|e| format!("cannot read {}: {e}", file.display()))?;
@@ -55,7 +55,7 @@
         }
     };
     match std::io::stdout().write_all(told.as_bytes()) {
-        // Whoever reads has enough.
+        // The reader has closed the pipe.
         Err(e) if e.kind() != std::io::ErrorKind::BrokenPipe => {
             return Err(format!("cannot write standard output: {e}"))
         }
@@ -140,7 +140,7 @@
         "short": short.collect::<Vec<_>>(), "headless": headless.collect::<Vec<_>>()})
 }
 
-/// Bars of what is used of each site, for each loss.
+/// Draws bars of how much of each site is used, for each loss.
 fn draw(layout: &Layout, plans: &[Outcome], to: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let bar = |plan: &Outcome, site: usize| {
         let at = plan.used.iter().filter(|u| u.site.0 == site);
--- a/crates/gradeshunt/src/position/tests.rs
+++ b/crates/gradeshunt/src/position/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of the part named by the folder: positions on clocks that the test steps.
+//! Tests of reading positions, on clocks that the test steps.
 
 use super::*;
 
 const SECOND: Micros = 1_000_000;
-/// How far a standby is behind by itself.
+/// The usual lag of a standby.
 const LAG: Micros = 50_000;
 const STEP: Micros = 10 * SECOND;
 
-/// A clock, and the distance that it showed at its start, which a primary has confirmed.
+/// A clock, and the offset that it showed at its start, which a primary has confirmed.
 fn clock() -> (Clock, Micros) {
     let mut clock = Clock::start();
     let offset = clock.offset();
@@ -15,17 +15,18 @@
     (clock, offset)
 }
 
-/// What a db host tells at `now` that is `age` behind, by clocks of this distance.
+/// What a db host reports at `now` if it lags by `age`, with this clock offset.
 fn told(now: Micros, age: Micros, offset: Micros) -> f64 {
     (now - age + offset) as f64 / 1000.0
 }
 
-/// The age that is read, to the millisecond.
+/// The age that the reader returns, rounded to milliseconds.
 fn age(reader: &mut PositionReader, clock: &mut Clock, now: Micros, ms: f64) -> Option<Micros> {
     reader.read(clock, now, ms, None).map(|position| (now - position + 500) / 1000 * 1000)
 }
 
-/// Guards the age of data over steps of all clocks, either way: a standby that follows is as old as it is.
+/// Guards the age of data across steps of all clocks in either direction: a standby that keeps up has its
+/// true age.
 #[test]
 fn standby_that_follows_is_current_after_a_step() {
     for step in [STEP, -STEP, 360 * STEP, -360 * STEP, 300_000, -300_000] {
@@ -35,11 +36,11 @@
         clock.take_offset(offset + step, SECOND + 10_000);
         let now = SECOND + 100_000;
         assert_eq!(age(&mut reader, &mut clock, now, told(now, LAG, offset + step)), Some(LAG), "{step}");
-        assert_eq!(clock.offset(), offset + step, "it is confirmed");
+        assert_eq!(clock.offset(), offset + step, "the step is confirmed");
     }
 }
 
-/// Guards against a standby that stands still at a position to which the clocks come back.
+/// Guards against a standby that is stuck at a position which the clocks reach again after a step back.
 #[test]
 fn standby_that_stands_still_never_looks_current() {
     let (mut clock, offset) = clock();
@@ -57,7 +58,8 @@
     }
 }
 
-/// Guards a standby that is far behind, and comes to the step later than others: it is as old as it is before, and after.
+/// Guards a standby that lags far behind and crosses the step later than others: its age is right before and
+/// after that.
 #[test]
 fn standby_that_is_far_behind_crosses_the_step_late() {
     let far = 4 * SECOND;
@@ -73,7 +75,7 @@
             }
             primary.read(&mut clock, now, told(now, 0, offset_of(now)), Some(true));
             let read = age(&mut behind, &mut clock, now, told(now, far, offset_of(now - far)));
-            // Never younger than it is; at a step forward older until it has crossed it.
+            // Never younger than its true age; after a step forward older until it has crossed the step.
             assert!(read.is_none_or(|age| age >= far), "{step}, {now}: {read:?}");
             if now - far > stepped + 2 * SECOND {
                 assert_eq!(read, Some(far), "{step}, {now}");
@@ -82,7 +84,8 @@
     }
 }
 
-/// Guards against a step of this machine alone: nobody else follows it, and once that is seen nothing has changed.
+/// Guards against a step of this machine's clock alone: no db host follows it, and once that is clear nothing
+/// has changed.
 #[test]
 fn step_of_this_machine_alone_passes() {
     for step in [STEP, -STEP, 300_000, -300_000] {
@@ -104,7 +107,7 @@
     }
 }
 
-/// Guards a db host that is first heard after a step, and one whose clock alone is ahead.
+/// Guards a db host that first reports after a step, and one whose clock alone is ahead.
 #[test]
 fn position_from_the_future_is_none() {
     let (mut clock, offset) = clock();
--- a/crates/gradeshunt/src/proc_stats.rs
+++ b/crates/gradeshunt/src/proc_stats.rs
@@ -1,5 +1,5 @@
-//! Statistics of this thread and its machine from the system: proc(5), `/proc/thread-self/schedstat`, `/proc/thread-self/stat`
-//! and `/proc/stat`. These are no files of a disk, and reading them waits for nothing.
+//! Statistics of this thread and its machine from proc(5): `/proc/thread-self/schedstat`,
+//! `/proc/thread-self/stat` and `/proc/stat`. These files are not on a disk, so reading them does not block.
 
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -9,19 +9,19 @@
 /// What a thread has used since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sample {
-    /// On a CPU.
+    /// Time on a CPU.
     pub ran: Micros,
-    /// Runnable, without a CPU.
+    /// Time runnable without a CPU.
     pub waited: Micros,
-    /// Page faults that had to be read from a disk.
+    /// Page faults that needed a read from disk.
     pub major_faults: u64,
-    /// Taken from all CPUs of this machine by the one that it runs on, where it is a virtual one: nothing of this
-    /// machine runs meanwhile, and no figure of its own shows it.
+    /// Steal time of all CPUs of a virtual machine: nothing on this machine runs meanwhile, and its other
+    /// statistics don't show it.
     pub stolen: Micros,
 }
 
 impl Sample {
-    /// What has been added since an earlier sample.
+    /// Returns the difference to an earlier sample.
     pub fn since(self, earlier: Sample) -> Sample {
         Sample {
             ran: self.ran - earlier.ran,
@@ -32,7 +32,7 @@
     }
 }
 
-/// The open files with the statistics of the thread that opened them; `None` where the system has no such file.
+/// The open files with the statistics of the thread that opened them; `None` if the system has no such file.
 pub struct ProcStats {
     schedule: Option<File>,
     stat: Option<File>,
@@ -58,10 +58,11 @@
 
 fn parse(schedule: &str, stat: &str, machine: &str) -> Sample {
     let mut ns = schedule.split_whitespace().map(|n| n.parse::<Micros>().unwrap_or(0) / 1000);
-    // The name before it, in brackets, may hold anything; major faults are the tenth field behind that.
+    // The name in parentheses before the fields may contain anything; major faults are the tenth field after
+    // it.
     let fields = stat.rsplit_once(')').map_or("", |s| s.1);
     let major_faults = fields.split_whitespace().nth(9).and_then(|n| n.parse().ok()).unwrap_or(0);
-    // The first line is of all CPUs together, in ticks of 10 ms; the eighth figure is what was stolen.
+    // The first line is the sum of all CPUs, in ticks of 10 ms; its eighth figure is the steal time.
     let stolen =
         machine.split_whitespace().nth(8).and_then(|n| n.parse::<Micros>().ok()).unwrap_or(0) * 10_000;
     Sample { ran: ns.next().unwrap_or(0), waited: ns.next().unwrap_or(0), major_faults, stolen }
--- a/crates/gradeshunt/src/proc_stats/tests.rs
+++ b/crates/gradeshunt/src/proc_stats/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the part named by the folder.
+//! Tests of parsing proc(5) files.
 
 use super::*;
 
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy: its parts, and what passes between them.
+//! The proxy: owns the program's parts and carries messages between them.
 
 mod changes;
 mod lifetime;
@@ -29,17 +29,17 @@
 use crate::turn::{self, Ready, Source};
 
 const SUMMARY: Micros = 10_000_000;
-/// Interval of the looks at what the processes of this proxy share.
+/// Interval at which the state shared with other processes of this proxy is read.
 const SHARED_STATE_POLL_INTERVAL: Micros = 50_000;
-/// A new process waits so long to see what others of its proxy do.
+/// How long a new process waits to learn what other processes of its proxy do.
 const SHARED_STATE_TIMEOUT: Micros = 2_000_000;
-/// A process that starts beside another waits for discovery so much longer than discovery may be silent, well within
-/// the 6 s that it has.
+/// A process that starts while another one runs waits this much longer for discovery than discovery may be
+/// silent, well within the 6 s that it has.
 const DISCOVERY_GRACE: Micros = 1_000_000;
-/// Descriptors for operators' connections.
+/// Descriptors reserved for operators' connections.
 const OPERATORS: usize = 12;
 
-/// The program: its parts, and what passes between them.
+/// The program's parts, and the state that belongs to none of them.
 pub struct Proxy {
     pub(crate) core: Core,
     frontend: Frontend,
@@ -47,39 +47,39 @@
     control: Option<Control>,
     shared: Shared,
     worker: Worker,
-    /// What this proxy may hold, with another process of it where there is one.
+    /// Descriptors and bytes of memory that this proxy may use, shared by its processes while two of them
+    /// run.
     sockets: usize,
     memory: usize,
-    /// Whether the platform holds the clients' socket.
+    /// Whether the platform holds the clients' socket and passes it to this process.
     held: bool,
-    /// The clients' socket, until it is served.
+    /// The clients' socket, until this process accepts connections on it.
     waiting: Option<TcpListener>,
-    /// The socket for other proxies, until they are served.
+    /// The socket for other proxies, until this process accepts connections on it.
     peer_socket: Option<socket2::Socket>,
-    /// When it begins at the latest, until it has.
+    /// Time at which the proxy begins at the latest; `None` once it has begun.
     begin_by: Option<Micros>,
     /// How long discovery may be silent.
     silence: Micros,
-    /// Why the program can't go on.
+    /// Why the program can't continue.
     pub failed: Option<String>,
-    /// Names of the classes, for the figures.
+    /// Names of the classes, for the metrics.
     classes: Vec<String>,
-    /// And of the tenants.
+    /// Names of the tenants, for the metrics.
     tenants: Vec<String>,
     longest: Micros,
     connect_timeout: Micros,
     terminating: bool,
     leave: bool,
-    /// When it has to have ended, once it was told to.
+    /// Time by which the process must have ended; set at SIGTERM.
     end_by: Option<Micros>,
 }
 
 impl Proxy {
-    /// Opens the sockets and starts the thread for file work. Clients are served once it has begun.
-    ///
-    /// # Errors
-    ///
-    /// Where the system gives no socket, poll or thread, in words for the operator.
+    /// Opens the sockets and starts the thread for file work. Clients are served only after the proxy has
+    /// begun.
+    /// | # Errors
+    /// | If the system provides no socket, poll or thread; the text is for the operator.
     pub fn new(
         config: Config,
         file: Option<PathBuf>,
@@ -94,7 +94,7 @@
         Proxy::with_waker(config, file, event_loop, log, ping)
     }
 
-    /// The proxy whose thread for file work wakes the loop by `waker`.
+    /// Creates a proxy whose thread for file work wakes the loop through `waker`.
     fn with_waker(
         mut config: Config,
         file: Option<PathBuf>,
@@ -160,8 +160,9 @@
         Ok(proxy)
     }
 
-    /// Begins once it is known which db hosts are held out and whether another process serves, or when that takes too
-    /// long. Beside another process there is time to hear discovery first; alone, clients wait already.
+    /// Begins once it is known which db hosts are held out and whether another process serves, or when
+    /// learning that takes too long. While another process serves, there is time to wait for discovery's
+    /// list; if this process is alone, clients are waiting already.
     fn begin(&mut self) {
         let Some(by) = self.begin_by.take() else { return };
         self.core.turn.deadlines.clear(by, Due::Begin);
@@ -171,19 +172,19 @@
         if self.shared.is_alone() {
             self.serve();
         } else {
-            info!(self.core.turn.log, "starting beside another process"; "control" => self.operators());
+            info!(self.core.turn.log, "starting while another process of this proxy runs"; "control" => self.operators());
             self.core.turn.deadlines.set(self.core.turn.now + self.silence + DISCOVERY_GRACE, Due::Serve);
         }
     }
 
-    /// Carries what the parts have for each other, until none has anything left.
+    /// Carries orders, answers and file work between the parts until none is left.
     fn settle(&mut self) {
         loop {
             if let Some(step) = self.core.step() {
                 self.take(step);
             } else if let Some(task) = self.shared.next(self.core.turn.now) {
                 if !self.worker.ask(task) {
-                    warn!(self.core.turn.log, "file work is lost: its thread has ended or is too far behind");
+                    warn!(self.core.turn.log, "file work dropped: its thread has ended or is too far behind");
                 }
             } else {
                 return;
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Does what the control part leaves to those who have sockets.
+    /// Carries out a step of the control core that needs sockets.
     fn take(&mut self, step: Step) {
         let Core { turn, exchange, .. } = &mut self.core;
         match step {
@@ -206,12 +207,13 @@
         }
     }
 
-    /// The module has heard of a list: the pool follows, and what is held out stays so.
+    /// Applies a list that the decision library has received: the connection pool follows it, and db hosts
+    /// that are held out stay held out.
     fn list(&mut self, list: &List) {
         let Core { turn, exchange, .. } = &mut self.core;
         self.frontend.has_hosts |= list.entries() > 0;
         self.backend.list(turn, exchange, list.kind, &list.listed);
-        // The ban on a name outlasts whatever the list says of it.
+        // A hold-out belongs to a name and outlasts whatever the list says.
         for l in list.listed.iter().filter(|l| self.shared.is_held_out(&l.id)) {
             exchange.maintain(turn, l.member, true);
             self.backend.maintain(turn, exchange, l.member, true);
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Whether the program may end: all is answered, or it is time to leave.
+    /// Whether the program may end: every request is answered, or it must leave now.
     pub fn is_done(&self) -> bool {
         let process = ProcessFacts {
             must_leave: self.leave,
@@ -276,7 +278,7 @@
             Due::AcceptCallers => self.control.iter_mut().for_each(|c| c.accept(turn)),
             Due::Look => {
                 turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, Due::Look);
-                // The ping that tells of work done may have failed.
+                // The ping that announces completed work may have failed.
                 self.file_work_done();
                 let turn = &self.core.turn;
                 let stands = self.shared.look(turn.now);
--- a/crates/gradeshunt/src/proxy/changes.rs
+++ b/crates/gradeshunt/src/proxy/changes.rs
@@ -1,4 +1,5 @@
-//! What file work has shown: bans on db hosts, the other process of this proxy, the configuration read anew.
+//! Reactions to file work: db hosts held out by an operator, the other process of this proxy, a configuration
+//! read again.
 
 use slog::{info, warn};
 
@@ -8,7 +9,7 @@
 use crate::shared::{Change, Duty};
 
 impl Proxy {
-    /// Takes what the thread for file work has done.
+    /// Takes over the work that the thread for file work has completed.
     pub(super) fn file_work_done(&mut self) {
         while let Some(done) = self.worker.done() {
             let changes = self.shared.done(self.core.turn.now, done);
@@ -16,13 +17,13 @@
         }
     }
 
-    /// Follows what file work has shown.
+    /// Applies a change that file work has shown.
     pub(super) fn change(&mut self, change: Change) {
         match change {
             Change::Unusable(why) => self.failed = Some(why),
             Change::Seen => {
                 self.begin();
-                // It may have begun without this, and be alone after all.
+                // The proxy may have begun before the folder was read, and turn out to be alone.
                 if self.shared.is_alone() {
                     self.serve();
                 }
@@ -40,7 +41,7 @@
                 let answer = match kept {
                     Ok(()) => Answer::new(200, if out { "held out\n" } else { "readmitted\n" }),
                     Err(e) => {
-                        warn!(self.core.turn.log, "cannot keep what an operator says"; "error" => e);
+                        warn!(self.core.turn.log, "cannot store an operator's order"; "error" => e);
                         Answer::new(500, "cannot be kept\n")
                     }
                 };
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Rereads the configuration after SIGHUP. What is under way is left alone, and so is everything where the
-    /// new file can't be used: an operator's slip must not cost more than a line in the log.
+    /// Applies the configuration that was reread after SIGHUP. Requests under way are left alone. If the new
+    /// file can't be used, nothing changes: an operator's mistake must not cost more than a line in the log.
     fn reload(&mut self, config: Result<Box<Config>, ConfigError>) {
         match config {
             Ok(config) => {
--- a/crates/gradeshunt/src/proxy/lifetime.rs
+++ b/crates/gradeshunt/src/proxy/lifetime.rs
@@ -1,4 +1,5 @@
-//! From the first client served to the last answer: limits shared with another process, the clients' socket, SIGTERM.
+//! The life of a process from the first client served to the last answer: limits shared with another process,
+//! the clients' socket, SIGTERM.
 
 use std::time::Duration;
 
@@ -11,34 +12,37 @@
 use crate::deadlines::Due;
 use crate::shared::Duty;
 
-/// New connections go on coming for a while after SIGTERM.
+/// New connections still arrive for a while after SIGTERM.
 const ACCEPT_ON: Micros = 500_000;
-/// SIGKILL may follow SIGTERM when the longest deadline, counted as this much where it is longer, and 0.7 s have passed: by then
-/// all has its answer, and this process has left, though it be held up for 0.15 s right before.
+/// SIGKILL may follow SIGTERM once the longest deadline (counted as at most this much) and 0.7 s have passed.
+/// By then every request has its answer and this process has left, even if it is held up for 0.15 s just
+/// before.
 const LONGEST_COUNTED: Micros = 3_000_000;
 const LEAVE_AFTER: Micros = 550_000;
-/// Who leaves waits for the log until then, and no longer: it has to have ended before SIGKILL.
+/// A process that leaves waits for its log until then and no longer: it must have ended before SIGKILL.
 const END_AFTER: Micros = LEAVE_AFTER + 100_000;
-/// So long before it leaves, what is open gets its last answer; and so long before that requests are over that come late.
+/// Open requests get their last answer this long before the process leaves. Requests that arrive in the
+/// `LAST_CALL` before that are not read any more.
 const LAST_ANSWERS: Micros = 50_000;
 const LAST_CALL: Micros = 50_000;
-/// Descriptors kept for the log, the poll, the signals, discovery and files.
+/// Descriptors reserved for the log, the poll, the signals, discovery and files.
 const RESERVED: usize = 24;
 
-/// When what happens at the end of a process that was told to end.
+/// Times of the steps by which a process ends after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Shutdown {
-    /// No request that comes later is read.
+    /// Requests that arrive later are not read.
     last_call: Micros,
-    /// What is open gets its last answer.
+    /// Open requests get their last answer.
     last_answers: Micros,
     leave: Micros,
-    /// It ends, whether its log is written or not.
+    /// The process ends, whether its log is written or not.
     end: Micros,
 }
 
 impl Shutdown {
-    /// Of a process that is told to end at `now` and whose classes wait for `longest` at most.
+    /// The shutdown of a process that gets SIGTERM at `now`, with `longest` the longest deadline of its
+    /// classes.
     fn at(now: Micros, longest: Micros) -> Shutdown {
         let over = now + longest.min(LONGEST_COUNTED);
         let leave = over + LEAVE_AFTER;
@@ -48,19 +52,20 @@
 }
 
 impl Proxy {
-    /// Two processes of a proxy share its limits while both live.
+    /// Applies this process's part of the proxy's limits: two processes share them while both live.
     pub(super) fn share_limits(&mut self) {
         let processes = 1 + usize::from(!self.shared.is_alone());
         let sockets = (self.sockets / processes).saturating_sub(RESERVED + OPERATORS);
-        // A third of the descriptors for db hosts: an attempt needs one only while it is out, a client for
-        // as long as it likes.
+        // A third of the descriptors for db hosts: an attempt needs one only while it runs, a client for as
+        // long as it stays connected.
         let servers = sockets / 3;
         self.backend.limit(&mut self.core.turn, servers);
-        // Rings may still grow when a third of the memory is held: by what is under way.
+        // A third of the memory for clients, because buffers may still grow beyond that for requests under
+        // way.
         self.frontend.limit(&mut self.core.turn, sockets - servers, self.memory / processes / 3);
     }
 
-    /// Serves clients from now on.
+    /// Starts serving clients.
     pub(super) fn serve(&mut self) {
         let Some(listener) = self.waiting.take() else { return };
         let listen = listener.local_addr().map(|a| a.to_string()).ok();
@@ -68,17 +73,18 @@
         self.serve_peers();
         self.shared.turn_to(Duty::Serving);
         if let Err(e) = opened {
-            warn!(self.core.turn.log, "cannot serve as it should be"; "error" => e.to_string());
+            warn!(self.core.turn.log, "cannot serve clients as configured"; "error" => e.to_string());
         }
         info!(self.core.turn.log, "serving"; "control" => self.operators(), "listen" => listen);
     }
 
-    /// Where operators call, for the log.
+    /// The operators' address, for the log.
     pub(super) fn operators(&self) -> Option<String> {
         self.control.as_ref().and_then(Control::local_addr).map(|a| a.to_string())
     }
 
-    /// After SIGTERM, where a successor serves: what waits on the clients' socket is the successor's.
+    /// After SIGTERM, closes the clients' socket once a successor serves: connections that wait on it are the
+    /// successor's.
     pub(super) fn hand_over(&mut self) {
         if may_hand_over(self.terminating, self.shared.is_succeeded()).is_ok() {
             self.frontend.close_listener(&mut self.core.turn, &mut self.core.exchange, true);
@@ -91,13 +97,14 @@
         Duration::from_micros(u64::try_from(left).unwrap_or_default())
     }
 
-    /// SIGTERM has come: serves on until all is answered.
+    /// Handles SIGTERM: goes on serving until every request is answered.
     pub(super) fn terminate(&mut self) {
         if std::mem::replace(&mut self.terminating, true) {
             return;
         }
-        info!(self.core.turn.log, "terminating: serving on until all is answered");
-        // Clients may have connected to a socket of our own before it is served. One that the platform holds is another's.
+        info!(self.core.turn.log, "terminating: serving until every request is answered");
+        // Clients may have connected to a socket of this process before it serves. A socket that the platform
+        // holds is left to another process.
         if self.held {
             self.waiting = None;
         } else {
--- a/crates/gradeshunt/src/proxy/lifetime/tests.rs
+++ b/crates/gradeshunt/src/proxy/lifetime/tests.rs
@@ -1,13 +1,14 @@
-//! Tests of the part named by the folder.
+//! Tests of the times at the end of a process.
 
 use super::*;
 
-/// SIGKILL comes no sooner than this after SIGTERM, beside the longest deadline.
+/// SIGKILL comes no sooner than the longest deadline and this much after SIGTERM.
 const KILL_AFTER: Micros = 700_000;
 /// A process may be held up for this long at any moment.
 const HELD_UP: Micros = 150_000;
 
-/// Guards the last answers of a process that is held up right before it gives them: SIGKILL must not find them wanting.
+/// Guards the last answers of a process that is held up just before it gives them: it must give them before
+/// SIGKILL.
 #[test]
 fn process_that_is_held_up_before_its_last_answers_leaves_before_sigkill() {
     for longest in [0, 1_000_000, LONGEST_COUNTED, 2 * LONGEST_COUNTED] {
@@ -19,7 +20,7 @@
     }
 }
 
-/// Guards the end against a log whose reader reads nothing: who has left waits for it, but not until SIGKILL.
+/// Guards the end of a process whose log is not being read: it waits for the log, but not until SIGKILL.
 #[test]
 fn process_that_waits_for_its_log_ends_before_sigkill() {
     for longest in [0, 1_000_000, LONGEST_COUNTED, 2 * LONGEST_COUNTED] {
--- a/crates/gradeshunt/src/proxy/operators.rs
+++ b/crates/gradeshunt/src/proxy/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask for, carried out and answered.
+//! Carries out and answers operators' calls.
 
 use slog::info;
 
@@ -8,7 +8,7 @@
 use crate::placing::Placing;
 
 impl Proxy {
-    /// Works off an operator's connection.
+    /// Reads an operator's connection and carries out its command.
     pub(super) fn call(&mut self, id: CallerId) {
         let Some(command) = self.control.as_mut().and_then(|c| c.ready(&mut self.core.turn, id)) else {
             return;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Carries out what an operator asks for; the answer follows later where that is file work.
+    /// Carries out a command. Returns `None` where the answer follows once file work is done.
     fn carry_out(&mut self, caller: CallerId, command: control::Command) -> Option<Answer> {
         let (turn, exchange) = (&mut self.core.turn, &mut self.core.exchange);
         Some(match command {
@@ -51,7 +51,7 @@
             control::Command::LetSiteBack(name) => self.hold_site(&name, false),
             control::Command::Standby | control::Command::Active => {
                 let standby = command == control::Command::Standby;
-                info!(turn.log, "told by an operator"; "standby" => standby);
+                info!(turn.log, "standby switched by an operator"; "standby" => standby);
                 self.frontend.set_standby(turn, exchange, standby);
                 Answer::new(200, if standby { "sending clients away\n" } else { "serving\n" })
             }
@@ -60,9 +60,10 @@
         })
     }
 
-    /// It stands where the other process looks, and will be found after this one, before it is confirmed.
+    /// Holds a db host out or readmits it. The order is confirmed only once it is stored where the other
+    /// process and a later one will find it.
     fn hold_out(&mut self, caller: CallerId, id: &str, out: bool) -> Option<Answer> {
-        // One held out may be off the list by now.
+        // A db host that is held out may have left the list.
         if self.core.discovery.member(id).is_none() && !self.shared.is_held_out(id) {
             return Some(Answer::new(404, "no such db host\n"));
         }
@@ -73,7 +74,7 @@
     pub(super) fn maintain(&mut self, id: &str, out: bool) {
         info!(self.core.turn.log, "db host held out or readmitted"; "id" => id, "out" => out);
         let Some(member) = self.core.discovery.member(id) else { return };
-        // Its site may be out as well.
+        // The db host's site may be held out as well.
         let lost = self.core.exchange.sites.as_ref().is_some_and(|s| s.is_out(member));
         self.core.exchange.maintain(&mut self.core.turn, member, out || lost);
         self.backend.maintain(&mut self.core.turn, &mut self.core.exchange, member, out);
--- a/crates/gradeshunt/src/proxy/placement.rs
+++ b/crates/gradeshunt/src/proxy/placement.rs
@@ -1,4 +1,5 @@
-//! Placement: the socket for other proxies, the operators' file read anew, what operators are shown.
+//! Placement: the socket for other proxies, changes of the operators' file, and the status that operators
+//! see.
 
 use std::net::{SocketAddr, TcpListener};
 
@@ -11,7 +12,7 @@
 use crate::placing::Placing;
 use crate::turn;
 
-/// Connections from other proxies that may wait to be accepted.
+/// Backlog of connections from other proxies.
 const BACKLOG: i32 = 1024;
 
 /// Binds the address for other proxies.
@@ -20,7 +21,8 @@
 }
 
 impl Proxy {
-    /// Takes part in the placement that the configuration brings, if any. Other proxies are refused until this one serves.
+    /// Takes part in the configured placement, if there is one. Other proxies are refused until this one
+    /// serves.
     pub(super) fn open_placement(&mut self) -> Result<(), String> {
         let Some(address) = self.core.exchange.placing.as_ref().and_then(Placing::own_address) else {
             return Ok(());
@@ -30,7 +32,7 @@
         Ok(())
     }
 
-    /// Serves other proxies from now on, where there is a placement.
+    /// Starts serving other proxies, if there is a placement.
     pub(super) fn serve_peers(&mut self) {
         let Some(socket) = self.peer_socket.take() else { return };
         let listening = socket.listen(BACKLOG).map(|()| TcpListener::from(socket));
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Connects the parts to what the placement says of the other proxies.
+    /// Tells the parts about the other proxies in the placement.
     fn use_peers(&mut self) {
         let Some(placing) = &self.core.exchange.placing else { return };
         let (own_name, peers) = (placing.own_name().to_owned(), placing.peers());
@@ -49,19 +51,20 @@
         if placing.needs_restart() {
             warn!(
                 self.core.turn.log,
-                "placement asks for smaller budgets, which follow from the next start on"
+                "placement requires smaller budgets, which take effect at the next start"
             );
         }
         self.frontend.set_peers(placing.group_names());
         self.backend.set_peers(&mut self.core.turn, &mut self.core.exchange, &own_name, &peers);
     }
 
-    /// The operators' file was read anew. One that can't be used changes nothing, and none at all leaves the placement in
-    /// force: the budgets of this process are those of a home, and too large for a proxy among all.
+    /// Applies the operators' file after it was reread. A file that can't be used changes nothing. Without a
+    /// file the placement stays in force: the budgets of this process are those of a home, too large for a
+    /// proxy that divides them with the whole fleet.
     pub(super) fn replace_placement(&mut self, placement: Option<Placement>) {
         let Some(placement) = placement else {
             if self.core.exchange.placing.is_some() {
-                warn!(self.core.turn.log, "placement kept: it can be left only by a restart");
+                warn!(self.core.turn.log, "placement kept: removing it requires a restart");
             }
             return;
         };
@@ -87,7 +90,7 @@
         }
     }
 
-    /// What operators are shown.
+    /// The status that operators see.
     pub(super) fn show_placement(&self) -> Answer {
         match &self.core.exchange.placing {
             Some(placing) => Answer::new(200, placing.exposition(self.core.turn.now)),
--- a/crates/gradeshunt/src/proxy/sites.rs
+++ b/crates/gradeshunt/src/proxy/sites.rs
@@ -1,5 +1,5 @@
-//! The loss of a site, carried out: what `gradeshunt_sites` concludes becomes orders, lines of the log and answers to
-//! operators. docs/site-loss.md tells the mechanism.
+//! Carries out the handling of a lost site: turns the conclusions of `gradeshunt_sites` into orders, lines of
+//! the log and answers to operators. docs/site-loss.md describes the mechanism.
 
 use gradeshunt_sites::proxy::Sites;
 use gradeshunt_sites::watch::{Action, State};
@@ -12,7 +12,7 @@
 use crate::exchange::{Ask, Order};
 
 impl Proxy {
-    /// Looks at the sites, and again when that is due.
+    /// Evaluates the sites, and schedules the next evaluation.
     pub(super) fn watch_sites(&mut self) {
         let Some(sites) = &mut self.core.exchange.sites else { return };
         let next = sites.look(self.core.turn.now);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Unless an operator holds it out by name.
+    /// Readmits a db host of a site that is back, unless an operator holds it out by name.
     fn put_back(&mut self, member: MemberId) {
         let by_hand = self.core.discovery.name(member).is_some_and(|id| self.shared.is_held_out(id));
         if !by_hand {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The operators' file was read anew.
+    /// Applies the operators' file after it was reread.
     pub(super) fn replace_sites(&mut self, sites: Option<Sites>) {
         let former = self.core.exchange.sites.take();
         let watched = former.is_some();
@@ -69,7 +69,7 @@
         }
         self.carry_out_sites();
         if !watched {
-            // It knows of no db host until the list comes anew.
+            // The new watch of sites knows no db host until it gets a list.
             self.core.exchange.asks.push_back(Ask::Fetch);
             self.watch_sites();
         }
--- a/crates/gradeshunt/src/proxy/tests.rs
+++ b/crates/gradeshunt/src/proxy/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the part named by the folder.
+//! Tests of the whole proxy with real sockets.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,17 +10,17 @@
 use super::*;
 use crate::cycle::Cycle;
 
-/// A wait that ends a test which fails, and bounds none that passes.
+/// Ends a test that fails; no passing test waits this long.
 const PATIENCE: Duration = Duration::from_secs(8);
 
-/// Wakes nobody, like an eventfd whose write fails.
+/// Never wakes the loop, like an eventfd whose write fails.
 struct BrokenWaker;
 
 impl Wake for BrokenWaker {
     fn wake(&self) {}
 }
 
-/// Writes a configuration whose discovery is at this address.
+/// Writes a configuration with discovery at this address.
 fn write_config(file: &Path, discovery: SocketAddr) {
     let text = std::fs::read_to_string("../../examples/config.json").expect("the example");
     let mut config: Value = serde_json::from_str(&text).expect("JSON");
@@ -30,18 +30,19 @@
     std::fs::write(file, config.to_string()).expect("it is written");
 }
 
-/// Turns the loop until somebody connects.
+/// Runs the loop until the proxy connects to `listener`.
 fn turn_until_connected(cycle: &mut Cycle, proxy: &mut Proxy, listener: &TcpListener) {
     listener.set_nonblocking(true).expect("it can be set");
     let began = Instant::now();
     while listener.accept().is_err() {
-        assert!(began.elapsed() < PATIENCE, "nobody connects");
+        assert!(began.elapsed() < PATIENCE, "the proxy does not connect");
         let wait = Cycle::wait(&proxy.core);
         cycle.turn(proxy, wait).expect("it can poll");
     }
 }
 
-/// Guards what the thread for file work has done against a ping that fails: a reload would never be taken in.
+/// Guards completed file work against a ping that fails: without the periodic check a reload would never take
+/// effect.
 #[test]
 fn file_work_is_taken_in_where_its_thread_cannot_wake_the_loop() {
     let discovery = || TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/gradeshunt/src/resumed.rs
+++ b/crates/gradeshunt/src/resumed.rs
@@ -1,14 +1,14 @@
 //! Event sources whose reads may be interrupted by a signal.
-//!
-//! The sources of calloop for signals and pings hand an interrupted read on as an error of the loop, which would end the
-//! process and drop the events behind it. Both are polled level-triggered: what was not read is told again in the next poll.
+//! | calloop's sources for signals and pings report an interrupted read as an error of the loop, which would
+//! end the process and drop the events after it. Both are polled level-triggered, so the next poll reports
+//! again whatever was not read.
 
 use std::error::Error;
 use std::io;
 
 use calloop::{EventSource, Poll, PostAction, Readiness, Token, TokenFactory};
 
-/// A level-triggered source that is read again in the next poll where a signal interrupts it.
+/// A level-triggered source that, if a signal interrupts its read, is read again after the next poll.
 pub struct Resumed<S>(pub S);
 
 impl<S> EventSource for Resumed<S>
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether an error, or one that it stems from, is that of an interrupted call, or of one that would block.
+/// Whether an error or one of its causes is that of an interrupted call or of one that would block.
 fn is_interrupted(e: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(e);
     while let Some(e) = cause {
--- a/crates/gradeshunt/src/run.rs
+++ b/crates/gradeshunt/src/run.rs
@@ -1,4 +1,4 @@
-//! The program from its arguments to its end: the signals, the loop.
+//! Runs the program from its arguments to its end: signals and the event loop.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,10 +18,10 @@
 use crate::transient::retry_while_transient;
 use crate::turn::{Ready, Source};
 
-/// The status of `gradeshunt plan` where a loss is not borne.
+/// Exit status of `gradeshunt plan` if a loss is not borne.
 const NOT_BORNE: u8 = 3;
 
-/// Turns of the loop until the proxy is done; gives until when the process may wait for its log.
+/// Runs the loop until the proxy is done; returns the time until which the process may wait for its log.
 fn turns(mut cycle: Cycle, mut proxy: Proxy) -> Result<Instant, String> {
     while !proxy.is_done() {
         let wait = Cycle::wait(&proxy.core);
@@ -35,8 +35,9 @@
 }
 
 fn serve(file: Option<PathBuf>, format: LogFormat, level: LogLevel) -> Result<(), String> {
-    // Before anything that takes time, for until then a signal's default ends the process; and before any thread starts, so that
-    // it inherits the mask: only the loop hears of signals.
+    // Signals are taken over before anything that takes time, because until then their default action ends
+    // the process, and before any thread starts, so that threads inherit the mask and only the loop receives
+    // signals.
     let signals = retry_while_transient(|| Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGHUP])?));
     let signals = signals.map_err(|e| format!("cannot take signals: {e}"))?;
     let config = Config::load(file.as_deref())?;
@@ -54,11 +55,9 @@
     Ok(())
 }
 
-/// Does what the command line asks for; serving ends when the process is told to leave.
-///
-/// # Errors
-///
-/// What the user is to be told: a configuration that can't be used, an address that can't be listened at.
+/// Carries out the command line; when serving, returns when the process is told to leave.
+/// | # Errors
+/// | A message for the user, such as an invalid configuration or an address that can't be listened at.
 pub fn run(arguments: Arguments) -> Result<ExitCode, String> {
     match arguments.command {
         None => serve(None, arguments.log_format, arguments.log_level)?,
--- a/crates/gradeshunt/src/site_loss.rs
+++ b/crates/gradeshunt/src/site_loss.rs
@@ -1,17 +1,17 @@
-//! What the exchange does for the loss of a site: evidence of each ending, and when a refused request may come back.
-//! docs/site-loss.md tells the mechanism.
+//! Site loss as seen by the exchange: evidence from the outcome of each attempt, and the time after which a
+//! refused request may be retried. docs/site-loss.md describes the mechanism.
 
 use gradeshunt_sites::proxy::Sites;
 use gradeshunt_sites::watch::Failure;
 use leadmast::{Class, Ending, MemberId, Micros, Settings};
 
-/// Who is beyond the plan for a lost site may come back after this part of its class's aim, while it can still be in time:
-/// what comes later is let in for nothing.
+/// A request refused beyond the plan for a lost site may be retried after its class's target time divided by
+/// this, while it can still be answered in time: one that came later would be admitted but its work wasted.
 const BACK: Micros = 8;
-/// A connection that is refused within this time found no process.
+/// A connection refused within this time found no listening process.
 const AT_ONCE: Micros = 50_000;
 
-/// What an ending says of its db host's site.
+/// Reports what the outcome of an attempt shows about its db host's site.
 pub fn see(sites: &mut Option<Sites>, now: Micros, member: MemberId, ending: Ending, elapsed: Micros) {
     let Some(sites) = sites else { return };
     match ending {
@@ -22,7 +22,7 @@
     }
 }
 
-/// When one that is beyond the plan may come back.
+/// Returns the time after which a request beyond the plan may be retried, if clients are told such times.
 pub fn back(settings: &Settings, class: &Class) -> Option<Micros> {
     let allowed = &settings.allowed;
     allowed.retry_after.then(|| (class.aim / BACK).min(allowed.max_retry_after))
--- a/crates/gradeshunt/src/start_offset/tests.rs
+++ b/crates/gradeshunt/src/start_offset/tests.rs
@@ -1,21 +1,22 @@
-//! Tests of the part named by the folder.
+//! Tests of the initial clock offset.
 
 use super::*;
 
 const HOUR: Micros = 3_600_000_000;
 
-/// Guards the usual start: the first primary that stands at the present settles it.
+/// Guards the usual start: the first primary that agrees with the offset confirms it.
 #[test]
 fn offset_that_a_primary_confirms_stays() {
     let mut start = StartOffset::default();
     assert!(!start.is_shown(0));
     assert_eq!(start.hear_primary(HOUR, 1_000, HOUR), None);
     assert!(start.is_shown(1_000));
-    // Whatever is told later is judged as a step.
+    // Later reports are judged as steps.
     assert_eq!(start.hear_primary(HOUR, 2_000, 2 * HOUR), None);
 }
 
-/// Guards replicas that lag: a process whose clock is behind must not take them for current until a primary agrees.
+/// Guards the age of lagging replicas: a process whose clock is behind must not take them for current until a
+/// primary agrees with the offset.
 #[test]
 fn offset_is_raised_at_once_and_believed_once_a_primary_agrees() {
     let mut start = StartOffset::default();
@@ -25,7 +26,7 @@
     assert!(start.is_shown(2_000));
 }
 
-/// Guards against a spoilt time from far ahead: primaries that agree bring the distance back.
+/// Guards against a corrupt time from far in the future: primaries that agree lower the offset again.
 #[test]
 fn offset_is_lowered_to_the_most_that_several_agree_on() {
     let mut start = StartOffset::default();
@@ -37,12 +38,13 @@
     let (at, late) = told[3];
     assert_eq!(start.hear_primary(HOUR, at, at + late), Some(0));
     assert!(start.is_shown(at));
-    // All of these answers may have been slow: the next one that is not raises it.
+    // All of these answers may have been slow: the next one that is not raises the offset.
     assert_eq!(start.hear_primary(0, at + 5_000, at + 9_000), Some(4_000));
     assert_eq!(start.hear_primary(4_000, at + 6_000, at + 6_000), None);
 }
 
-/// Guards against a primary that stands still, and single slow answers: what does not agree is no evidence.
+/// Guards against a primary that is stuck, and against single slow answers: reports that don't agree are no
+/// evidence.
 #[test]
 fn offset_is_not_lowered_by_times_that_disagree() {
     let mut start = StartOffset::default();
@@ -51,7 +53,7 @@
     }
 }
 
-/// Guards deployments whose primaries tell no times.
+/// Guards deployments whose primaries report no times.
 #[test]
 fn offset_is_believed_after_a_while_where_no_primary_tells_a_time() {
     let start = StartOffset::default();
--- a/crates/gradeshunt/src/transient.rs
+++ b/crates/gradeshunt/src/transient.rs
@@ -1,4 +1,4 @@
-//! Transient errors of the system, and how a start waits for their end.
+//! Transient system errors, and how a starting process waits for them to pass.
 
 use std::io;
 use std::thread;
@@ -6,12 +6,14 @@
 
 use rustix::io::Errno;
 
-/// How long a start waits for what the system can't give at once, well within the time in which a process has to be ready.
+/// How long a starting process waits for a resource that the system lacks, well within the time in which a
+/// process must be ready.
 const START_PATIENCE: Duration = Duration::from_secs(4);
-/// Pause between two tries.
+/// Pause between two attempts.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// Whether an error is transient: a lack of descriptors, ports, memory, room on a disk, or of a disk that errs for a while.
+/// Whether an error is transient: a lack of descriptors, ports, memory or disk space, or a disk that fails
+/// for a while.
 pub fn is_transient(e: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(e),
@@ -30,10 +32,10 @@
     )
 }
 
-/// Tries again for a while where the system can't give what a start needs at once. Nobody is served yet who could be held up.
-///
-/// # Errors
-/// The last one, where it lasts too long or is not transient.
+/// Retries for a while when the system lacks a resource needed at start. No client is served yet whom the
+/// wait could delay.
+/// | # Errors
+/// The last error, if it lasts too long or is not transient.
 pub fn retry_while_transient<T>(mut get: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let began = Instant::now();
     loop {
--- a/crates/gradeshunt/tests/config.rs
+++ b/crates/gradeshunt/tests/config.rs
@@ -93,7 +93,7 @@
     std::fs::write(&file, good).expect("a file");
     let odd = [
         ("ROUTER_CONTROL", "localhost", "ROUTER_CONTROL is not an address"),
-        ("ROUTER_LISTEN_FD", "seven", "ROUTER_LISTEN_FD is no descriptor"),
+        ("ROUTER_LISTEN_FD", "seven", "ROUTER_LISTEN_FD is not a descriptor"),
         ("ROUTER_LISTEN_FD", "1000000", "cannot listen on descriptor 1000000"),
     ];
     for (name, value, complaint) in odd {
