--- a/crates/gradeshunt/src/cli.rs
+++ b/crates/gradeshunt/src/cli.rs
@@ -105,7 +105,8 @@
 }
 
 /// Classifies statements in input order.
-/// | # Errors
+///
+/// # Errors
 /// If the rules or standard input can't be read, or standard output can't be written.
 pub fn classify(
     rules: Option<PathBuf>,
--- a/crates/gradeshunt/src/clock.rs
+++ b/crates/gradeshunt/src/clock.rs
@@ -1,11 +1,13 @@
 //! Time: monotonic microseconds for everything that the proxy waits for, and the conversion of Unix times
 //! that other machines report.
-//! | Deadlines, windows and ages are spans on the monotonic clock alone. Unix times come from other machines:
+//!
+//! Deadlines, windows and ages are spans on the monotonic clock alone. Unix times come from other machines:
 //! positions of db hosts, commits that clients carry, starts of db hosts. All machines follow one wall clock,
 //! which may be stepped in either direction while the proxy runs. The offset between the two clocks is
 //! therefore kept as a history: a time from before a step is converted with the offset of that time.
-//! | The proxy's own wall clock alone proves nothing about the others': an offset that differs from the one
-//! in use is a candidate until a db host reports a position that only the candidate explains
+//!
+//! The proxy's own wall clock alone proves nothing about the others': an offset that differs from the one in
+//! use is a candidate until a db host reports a position that only the candidate explains
 //! ([`crate::position`]). The same holds for the initial offset, until primaries have confirmed it
 //! ([`crate::start_offset`]).
 
--- a/crates/gradeshunt/src/config.rs
+++ b/crates/gradeshunt/src/config.rs
@@ -87,7 +87,8 @@
 
 impl Config {
     /// Reads the given file, or the one that the environment names.
-    /// | # Errors
+    ///
+    /// # Errors
     /// If a file can't be read, or its contents are invalid.
     pub fn load(named: Option<&Path>) -> Result<Config, ConfigError> {
         let path = match named {
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -1,6 +1,7 @@
 //! Reads lists of db hosts in discovery's format. No I/O.
-//! | A list may be truncated, malformed or huge, and the process has little memory: entries are parsed one at
-//! a time from the text, and only the first few errors are kept for the log.
+//!
+//! A list may be truncated, malformed or huge, and the process has little memory: entries are parsed one at a
+//! time from the text, and only the first few errors are kept for the log.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/gradeshunt/src/lib.rs
+++ b/crates/gradeshunt/src/lib.rs
@@ -1,7 +1,8 @@
 //! gradeshunt: a proxy for replicated PostgreSQL. The library `leadmast` makes the decisions; this crate does
 //! the I/O.
-//! | It is a library so that measurements can run a proxy's control work without its sockets. The public
-//! items serve those measurements and the program's `main` only; they are not a stable interface.
+//!
+//! It is a library so that measurements can run a proxy's control work without its sockets. The public items
+//! serve those measurements and the program's `main` only; they are not a stable interface.
 
 mod accept_failure;
 mod backend;
--- a/crates/gradeshunt/src/placement_command.rs
+++ b/crates/gradeshunt/src/placement_command.rs
@@ -19,7 +19,8 @@
 }
 
 /// Prints the groups.
-/// | # Errors
+///
+/// # Errors
 /// If the file can't be read or describes no valid placement, or standard output can't be written.
 pub fn place(options: &Options) -> Result<(), String> {
     let file = options.file.display().to_string();
--- a/crates/gradeshunt/src/planning.rs
+++ b/crates/gradeshunt/src/planning.rs
@@ -33,7 +33,8 @@
 }
 
 /// Prints the plans; returns whether all losses are borne.
-/// | # Errors
+///
+/// # Errors
 /// If the file can't be read or doesn't describe a layout that can be planned.
 pub fn plan(options: &Options) -> Result<bool, String> {
     let Options { file, lose, format, plot } = options;
--- a/crates/gradeshunt/src/position.rs
+++ b/crates/gradeshunt/src/position.rs
@@ -1,5 +1,6 @@
 //! Converts replication positions of db hosts, reported as Unix times, to the proxy's clock.
-//! | A position is the time up to which a db host has applied every commit. When all wall clocks are stepped,
+//!
+//! A position is the time up to which a db host has applied every commit. When all wall clocks are stepped,
 //! the replication log continues with times from after the step, and each db host crosses the step when it
 //! has applied everything before it. So the positions of each db host are read with a clock offset of their
 //! own, which changes when only the new offset explains what the db host reports.
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -78,8 +78,10 @@
 impl Proxy {
     /// Opens the sockets and starts the thread for file work. Clients are served only after the proxy has
     /// begun.
-    /// | # Errors
-    /// | If the system provides no socket, poll or thread; the text is for the operator.
+    ///
+    /// # Errors
+    ///
+    /// If the system provides no socket, poll or thread; the text is for the operator.
     pub fn new(
         config: Config,
         file: Option<PathBuf>,
--- a/crates/gradeshunt/src/proxy/changes.rs
+++ b/crates/gradeshunt/src/proxy/changes.rs
@@ -6,7 +6,7 @@
 use super::Proxy;
 use crate::config::{Config, ConfigError};
 use crate::control::Answer;
-use crate::shared::{Change, Duty};
+use crate::shared::{Change, ProcessState};
 
 impl Proxy {
     /// Takes over the work that the thread for file work has completed.
@@ -21,24 +21,24 @@
     pub(super) fn change(&mut self, change: Change) {
         match change {
             Change::Unusable(why) => self.failed = Some(why),
-            Change::Seen => {
+            Change::FirstScan => {
                 self.begin();
                 // The proxy may have begun before the folder was read, and turn out to be alone.
                 if self.shared.is_alone() {
                     self.serve();
                 }
             }
-            Change::Ban { id, out } => self.maintain(&id, out),
-            Change::Other { anew } => {
-                if anew {
-                    let duty = self.shared.other().map(Duty::name);
+            Change::HoldOut { id, out } => self.maintain(&id, out),
+            Change::OtherProcess { is_new } => {
+                if is_new {
+                    let duty = self.shared.other_process().map(ProcessState::name);
                     info!(self.core.turn.log, "other process of this proxy"; "duty" => duty);
                 }
                 self.share_limits();
                 self.hand_over();
             }
-            Change::Kept { caller, out, kept } => {
-                let answer = match kept {
+            Change::HoldOutStored { caller, out, stored } => {
+                let answer = match stored {
                     Ok(()) => Answer::new(200, if out { "held out\n" } else { "readmitted\n" }),
                     Err(e) => {
                         warn!(self.core.turn.log, "cannot store an operator's order"; "error" => e);
@@ -48,7 +48,7 @@
                 self.answer(caller, &answer);
             }
             Change::Reread(config) => self.reload(config),
-            Change::Complain { what, why } => warn!(self.core.turn.log, "{}", what; "error" => why),
+            Change::Warning { what, why } => warn!(self.core.turn.log, "{}", what; "error" => why),
         }
     }
 
--- a/crates/gradeshunt/src/proxy/lifetime.rs
+++ b/crates/gradeshunt/src/proxy/lifetime.rs
@@ -10,7 +10,7 @@
 use super::{Proxy, OPERATORS};
 use crate::control::Control;
 use crate::deadlines::Due;
-use crate::shared::Duty;
+use crate::shared::ProcessState;
 
 /// New connections still arrive for a while after SIGTERM.
 const ACCEPT_ON: Micros = 500_000;
@@ -71,7 +71,7 @@
         let listen = listener.local_addr().map(|a| a.to_string()).ok();
         let opened = self.frontend.open(&mut self.core.turn, listener);
         self.serve_peers();
-        self.shared.turn_to(Duty::Serving);
+        self.shared.change_state(ProcessState::Serving);
         if let Err(e) = opened {
             warn!(self.core.turn.log, "cannot serve clients as configured"; "error" => e.to_string());
         }
@@ -86,7 +86,7 @@
     /// After SIGTERM, closes the clients' socket once a successor serves: connections that wait on it are the
     /// successor's.
     pub(super) fn hand_over(&mut self) {
-        if may_hand_over(self.terminating, self.shared.is_succeeded()).is_ok() {
+        if may_hand_over(self.terminating, self.shared.has_successor()).is_ok() {
             self.frontend.close_listener(&mut self.core.turn, &mut self.core.exchange, true);
         }
     }
@@ -111,7 +111,7 @@
             self.begin();
             self.serve();
         }
-        self.shared.turn_to(Duty::Leaving);
+        self.shared.change_state(ProcessState::Leaving);
         let now = self.core.turn.now;
         let Shutdown { last_call, last_answers, leave, end } = Shutdown::at(now, self.longest);
         self.end_by = Some(end);
--- a/crates/gradeshunt/src/resumed.rs
+++ b/crates/gradeshunt/src/resumed.rs
@@ -1,5 +1,6 @@
 //! Event sources whose reads may be interrupted by a signal.
-//! | calloop's sources for signals and pings report an interrupted read as an error of the loop, which would
+//!
+//! calloop's sources for signals and pings report an interrupted read as an error of the loop, which would
 //! end the process and drop the events after it. Both are polled level-triggered, so the next poll reports
 //! again whatever was not read.
 
--- a/crates/gradeshunt/src/run.rs
+++ b/crates/gradeshunt/src/run.rs
@@ -56,8 +56,10 @@
 }
 
 /// Carries out the command line; when serving, returns when the process is told to leave.
-/// | # Errors
-/// | A message for the user, such as an invalid configuration or an address that can't be listened at.
+///
+/// # Errors
+///
+/// A message for the user, such as an invalid configuration or an address that can't be listened at.
 pub fn run(arguments: Arguments) -> Result<ExitCode, String> {
     match arguments.command {
         None => serve(None, arguments.log_format, arguments.log_level)?,
--- a/crates/gradeshunt/src/shared/files.rs
+++ b/crates/gradeshunt/src/shared/files.rs
@@ -8,31 +8,31 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-use super::{Duty, View};
+use super::{ProcessState, View};
 
 /// Longest id of a db host that can be part of a file name; hex encoding doubles it.
-const LONGEST: usize = 100;
+const LONGEST_ID: usize = 100;
 /// Prefix of the processes' lock files.
-const PROCESS: &str = "process-";
+const PROCESS_FILE_PREFIX: &str = "process-";
 /// Most processes of a proxy that can share the folder.
-const MOST: usize = 64;
+const MAX_PROCESSES: usize = 64;
 
 /// File operations shared by the processes of one proxy.
 pub trait Files: Send {
     /// Publishes this process's state to the other processes.
-    fn tell(&mut self, duty: Duty) -> io::Result<()>;
+    fn publish(&mut self, state: ProcessState) -> io::Result<()>;
     /// Holds a db host out (`out`) or readmits it.
     fn hold_out(&mut self, id: &str, out: bool) -> io::Result<()>;
     /// Reads the folder's current contents.
-    fn look(&mut self) -> io::Result<View>;
+    fn scan(&mut self) -> io::Result<View>;
 }
 
 /// Used without a folder: the state stays within this process.
 #[derive(Default)]
-pub struct Alone(View);
+pub struct InMemory(View);
 
-impl Files for Alone {
-    fn tell(&mut self, _: Duty) -> io::Result<()> {
+impl Files for InMemory {
+    fn publish(&mut self, _: ProcessState) -> io::Result<()> {
         Ok(())
     }
 
@@ -45,19 +45,20 @@
         Ok(())
     }
 
-    fn look(&mut self) -> io::Result<View> {
+    fn scan(&mut self) -> io::Result<View> {
         Ok(self.0.clone())
     }
 }
 
 /// Opens the state shared between the processes of the proxy `name`: a folder in `$TMPDIR`, or memory where
 /// `$TMPDIR` is not set.
-/// | # Errors
+///
+/// # Errors
 /// Those of opening the folder, which may be transient.
 pub fn open(name: &str) -> io::Result<Box<dyn Files>> {
     let tmp = std::env::var_os("TMPDIR").filter(|d| !d.is_empty());
     match tmp {
-        None => Ok(Box::new(Alone::default())),
+        None => Ok(Box::new(InMemory::default())),
         Some(tmp) => Ok(Box::new(Folder::open(Path::new(&tmp), name)?)),
     }
 }
@@ -79,19 +80,19 @@
         let (own, number) = claim(&path)?;
         let mut folder = Folder { path, own, number };
         // The file may still hold the state of an earlier process.
-        folder.tell(Duty::Starting)?;
+        folder.publish(ProcessState::Starting)?;
         Ok(folder)
     }
 }
 
 impl Files for Folder {
-    fn tell(&mut self, duty: Duty) -> io::Result<()> {
-        self.own.write_all_at(&[byte(duty)], 0)
+    fn publish(&mut self, state: ProcessState) -> io::Result<()> {
+        self.own.write_all_at(&[encode(state)], 0)
     }
 
     fn hold_out(&mut self, id: &str, out: bool) -> io::Result<()> {
         let file = self.path.join(format!("out-{}", hex(id)));
-        match (out, id.len() <= LONGEST) {
+        match (out, id.len() <= LONGEST_ID) {
             (true, false) => Err(io::ErrorKind::InvalidFilename.into()),
             (true, true) => File::create(file).map(drop),
             (false, _) => match fs::remove_file(file) {
@@ -101,15 +102,15 @@
         }
     }
 
-    fn look(&mut self) -> io::Result<View> {
+    fn scan(&mut self) -> io::Result<View> {
         let (mut held_out, mut other) = (BTreeSet::new(), None);
         for file in fs::read_dir(&self.path)? {
             let name = file?.file_name();
             let name = name.to_str().unwrap_or_default();
             held_out.extend(name.strip_prefix("out-").and_then(unhex));
-            let process = name.strip_prefix(PROCESS).and_then(|n| n.parse::<usize>().ok());
+            let process = name.strip_prefix(PROCESS_FILE_PREFIX).and_then(|n| n.parse::<usize>().ok());
             if process.is_some_and(|n| n != self.number) {
-                other = other.max(duty(&self.path.join(name))?);
+                other = other.max(read_state(&self.path.join(name))?);
             }
         }
         Ok(View { held_out, other })
@@ -119,8 +120,8 @@
 /// Locks the first process file that no process holds. The files are never removed: another process could be
 /// about to lock the one that is removed.
 fn claim(folder: &Path) -> io::Result<(File, usize)> {
-    for n in 0..MOST {
-        let path = folder.join(format!("{PROCESS}{n}"));
+    for n in 0..MAX_PROCESSES {
+        let path = folder.join(format!("{PROCESS_FILE_PREFIX}{n}"));
         let file = File::options().write(true).create(true).truncate(false).open(path)?;
         match file.try_lock() {
             Ok(()) => return Ok((file, n)),
@@ -132,30 +133,33 @@
 }
 
 /// Returns the state of the process that holds this file, or `None` if no process does.
-fn duty(path: &Path) -> io::Result<Option<Duty>> {
+fn read_state(path: &Path) -> io::Result<Option<ProcessState>> {
     let file = File::open(path)?;
     match file.try_lock_shared() {
         Ok(()) => Ok(None),
         Err(TryLockError::Error(e)) => Err(e),
         Err(TryLockError::WouldBlock) => {
-            let mut told = [0];
+            let mut byte = [0];
             // A process whose file is still empty has only just started.
-            Ok(Some(if file.read_at(&mut told, 0)? == 1 { of(told[0]) } else { Duty::Starting }))
+            Ok(Some(if file.read_at(&mut byte, 0)? == 1 { decode(byte[0]) } else { ProcessState::Starting }))
         }
     }
 }
 
 /// The byte that stands for the state in a process file.
-fn byte(duty: Duty) -> u8 {
-    match duty {
-        Duty::Leaving => b'l',
-        Duty::Starting => b's',
-        Duty::Serving => b'r',
+fn encode(state: ProcessState) -> u8 {
+    match state {
+        ProcessState::Leaving => b'l',
+        ProcessState::Starting => b's',
+        ProcessState::Serving => b'r',
     }
 }
 
-fn of(told: u8) -> Duty {
-    [Duty::Leaving, Duty::Serving].into_iter().find(|d| byte(*d) == told).unwrap_or(Duty::Starting)
+fn decode(byte: u8) -> ProcessState {
+    [ProcessState::Leaving, ProcessState::Serving]
+        .into_iter()
+        .find(|d| encode(*d) == byte)
+        .unwrap_or(ProcessState::Starting)
 }
 
 /// Encodes any name so that it can be part of a file name.
--- a/crates/gradeshunt/src/shared/mod.rs
+++ b/crates/gradeshunt/src/shared/mod.rs
@@ -1,6 +1,7 @@
 //! State that the processes of one proxy share while one takes over from the other: which db hosts an
 //! operator holds out, and the state of each process.
-//! | This module keeps what is known and decides which file work comes next; it does no I/O itself. [`files`]
+//!
+//! This module keeps what is known and decides which file work comes next; it does no I/O itself. [`files`]
 //! does the file work and [`worker`] is the thread that runs it, so that the event loop never waits for a
 //! disk.
 
@@ -16,29 +17,29 @@
 
 /// Most hold-outs under way at a time. There are no more operators' connections than this, but one that gives
 /// up frees its slot while its task is still under way.
-const BANS: usize = 16;
-/// A look at the folder that takes longer is logged.
-const STANDS: Micros = 1_000_000;
+const MAX_HOLD_OUTS: usize = 16;
+/// A scan of the folder that takes longer is logged.
+const SLOW_SCAN: Micros = 1_000_000;
 /// Pause before a configuration that could not be read is read again.
 const REREAD_PAUSE: Micros = 250_000;
 /// Shortest interval between two complaints in the log.
-const COMPLAIN: Micros = 10_000_000;
+const COMPLAINT_INTERVAL: Micros = 10_000_000;
 
 /// State of a process. It is written as one byte to a file that the process keeps locked for as long as it
 /// lives, so that the file of a killed process is not mistaken for that of a live one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Duty {
+pub enum ProcessState {
     Leaving,
     Starting,
     Serving,
 }
 
-impl Duty {
+impl ProcessState {
     pub fn name(self) -> &'static str {
         match self {
-            Duty::Leaving => "leaving",
-            Duty::Starting => "starting",
-            Duty::Serving => "serving",
+            ProcessState::Leaving => "leaving",
+            ProcessState::Starting => "starting",
+            ProcessState::Serving => "serving",
         }
     }
 }
@@ -49,14 +50,14 @@
     /// Db hosts that an operator holds out.
     pub held_out: BTreeSet<String>,
     /// State of the other process of this proxy, if one is alive.
-    pub other: Option<Duty>,
+    pub other: Option<ProcessState>,
 }
 
 /// File work to be done, in order.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Task {
-    Look,
-    Tell(Duty),
+    Scan,
+    Publish(ProcessState),
     HoldOut {
         caller: CallerId,
         id: String,
@@ -69,9 +70,9 @@
 /// Completed file work. A failure carries its reason.
 pub enum Done {
     Opened(Result<(), OpenFailure>),
-    Looked(Result<View, String>),
-    Told(Result<(), String>),
-    HeldOut { caller: CallerId, id: String, out: bool, kept: Result<(), String> },
+    Scanned(Result<View, String>),
+    Published(Result<(), String>),
+    HeldOut { caller: CallerId, id: String, out: bool, stored: Result<(), String> },
     Reread(Result<Box<Config>, ConfigError>),
 }
 
@@ -88,25 +89,25 @@
     /// The folder can't be used, so the program can't start.
     Unusable(String),
     /// The folder has been read for the first time, so the program may begin.
-    Seen,
+    FirstScan,
     /// A db host has been held out or readmitted.
-    Ban {
+    HoldOut {
         id: String,
         out: bool,
     },
-    /// The state of the other process has been read; `anew` if it differs from before.
-    Other {
-        anew: bool,
+    /// The state of the other process has been read; `is_new` if it differs from before.
+    OtherProcess {
+        is_new: bool,
     },
     /// An operator's order has been stored, or could not be.
-    Kept {
+    HoldOutStored {
         caller: CallerId,
         out: bool,
-        kept: Result<(), String>,
+        stored: Result<(), String>,
     },
     Reread(Result<Box<Config>, ConfigError>),
     /// A line for the log, at most one every 10 s.
-    Complain {
+    Warning {
         what: &'static str,
         why: String,
     },
@@ -117,27 +118,27 @@
 enum Work {
     Idle,
     Wanted,
-    Out { again: bool },
+    Running { again: bool },
 }
 
 impl Work {
-    fn want(&mut self) {
+    fn request(&mut self) {
         *self = match *self {
             Work::Idle | Work::Wanted => Work::Wanted,
-            Work::Out { .. } => Work::Out { again: true },
+            Work::Running { .. } => Work::Running { again: true },
         };
     }
 
     fn take(&mut self) -> bool {
         let wanted = *self == Work::Wanted;
         if wanted {
-            *self = Work::Out { again: false };
+            *self = Work::Running { again: false };
         }
         wanted
     }
 
     fn done(&mut self) {
-        *self = if *self == (Work::Out { again: true }) { Work::Wanted } else { Work::Idle };
+        *self = if *self == (Work::Running { again: true }) { Work::Wanted } else { Work::Idle };
     }
 }
 
@@ -145,44 +146,44 @@
 pub struct Shared {
     view: View,
     /// Whether the folder has been read at least once.
-    seen: bool,
-    look: Work,
-    look_since: Micros,
-    /// Looks started so far, the look that `view` comes from, and the first look that was started after
+    is_scanned: bool,
+    scan: Work,
+    scan_started: Micros,
+    /// Scans started so far, the scan that `view` comes from, and the first scan that was started after
     /// SIGTERM.
-    looks: u64,
-    seen_by: u64,
-    fresh_from: Option<u64>,
-    tell: Work,
+    scans: u64,
+    view_scan: u64,
+    first_leaving_scan: Option<u64>,
+    publish: Work,
     /// The last attempt to publish the state failed.
-    tell_again: bool,
-    duty: Duty,
+    publish_again: bool,
+    state: ProcessState,
     reread: Work,
     /// When to try again to read a configuration that could not be read.
     reread_at: Option<Micros>,
-    bans: Vec<Task>,
-    bans_out: usize,
-    complain_at: Micros,
+    hold_outs: Vec<Task>,
+    hold_outs_running: usize,
+    next_complaint: Micros,
 }
 
 impl Shared {
     pub fn new() -> Self {
         Shared {
             view: View::default(),
-            seen: false,
-            look: Work::Wanted,
-            look_since: 0,
-            looks: 0,
-            seen_by: 0,
-            fresh_from: None,
-            tell: Work::Idle,
-            tell_again: false,
-            duty: Duty::Starting,
+            is_scanned: false,
+            scan: Work::Wanted,
+            scan_started: 0,
+            scans: 0,
+            view_scan: 0,
+            first_leaving_scan: None,
+            publish: Work::Idle,
+            publish_again: false,
+            state: ProcessState::Starting,
             reread: Work::Idle,
             reread_at: None,
-            bans: Vec::new(),
-            bans_out: 0,
-            complain_at: 0,
+            hold_outs: Vec::new(),
+            hold_outs_running: 0,
+            next_complaint: 0,
         }
     }
 
@@ -192,53 +193,54 @@
         self.view.held_out.contains(id)
     }
 
-    /// State of the other process, as of the latest look.
-    pub fn other(&self) -> Option<Duty> {
+    /// State of the other process, as of the latest scan.
+    pub fn other_process(&self) -> Option<ProcessState> {
         self.view.other
     }
 
-    /// Whether no other process of this proxy is known. A process that has not looked yet must assume that
+    /// Whether no other process of this proxy is known. Before its first scan a process must assume that
     /// there is another.
     pub fn is_alone(&self) -> bool {
-        self.seen && self.view.other.is_none()
+        self.is_scanned && self.view.other.is_none()
     }
 
-    /// Whether another process serves, as shown by a look that began after this process was told to leave.
-    pub fn is_succeeded(&self) -> bool {
-        self.fresh_from.is_some_and(|from| self.seen_by >= from) && self.view.other == Some(Duty::Serving)
+    /// Whether another process serves, as shown by a scan that began after this process was told to leave.
+    pub fn has_successor(&self) -> bool {
+        self.first_leaving_scan.is_some_and(|from| self.view_scan >= from)
+            && self.view.other == Some(ProcessState::Serving)
     }
 
     // ---- Requested work ----
 
-    /// Requests a look, and retries what failed for a transient reason. Returns a complaint if a look has
+    /// Requests a scan, and retries what failed for a transient reason. Returns a complaint if a scan has
     /// been under way for too long.
     pub fn look(&mut self, now: Micros) -> Option<Change> {
-        if std::mem::take(&mut self.tell_again) {
-            self.tell.want();
+        if std::mem::take(&mut self.publish_again) {
+            self.publish.request();
         }
         if self.reread_at.take_if(|at| *at <= now).is_some() {
-            self.reread.want();
+            self.reread.request();
         }
-        // A look that is already under way is recent enough.
-        if !matches!(self.look, Work::Out { .. }) {
-            self.look.want();
-        } else if now - self.look_since > STANDS {
+        // A scan that is already under way is recent enough.
+        if !matches!(self.scan, Work::Running { .. }) {
+            self.scan.request();
+        } else if now - self.scan_started > SLOW_SCAN {
             return self.complain(
                 now,
                 "file work in $TMPDIR is stuck",
-                format!("{} ms", (now - self.look_since) / 1000),
+                format!("{} ms", (now - self.scan_started) / 1000),
             );
         }
         None
     }
 
     /// Changes the state of this process and has it published.
-    pub fn turn_to(&mut self, duty: Duty) {
-        self.duty = duty;
-        self.tell.want();
-        if duty == Duty::Leaving && self.fresh_from.is_none() {
-            self.fresh_from = Some(self.looks + 1);
-            self.look.want();
+    pub fn change_state(&mut self, state: ProcessState) {
+        self.state = state;
+        self.publish.request();
+        if state == ProcessState::Leaving && self.first_leaving_scan.is_none() {
+            self.first_leaving_scan = Some(self.scans + 1);
+            self.scan.request();
         }
     }
 
@@ -246,30 +248,30 @@
     /// much is under way.
     #[must_use]
     pub fn hold_out(&mut self, caller: CallerId, id: &str, out: bool) -> bool {
-        let room = self.bans.len() + self.bans_out < BANS;
+        let room = self.hold_outs.len() + self.hold_outs_running < MAX_HOLD_OUTS;
         if room {
-            self.bans.push(Task::HoldOut { caller, id: id.to_owned(), out });
+            self.hold_outs.push(Task::HoldOut { caller, id: id.to_owned(), out });
         }
         room
     }
 
     pub fn reread(&mut self) {
-        self.reread.want();
+        self.reread.request();
     }
 
     /// Returns the next work to do. What other processes wait for is written first.
     pub fn next(&mut self, now: Micros) -> Option<Task> {
-        if self.tell.take() {
-            return Some(Task::Tell(self.duty));
+        if self.publish.take() {
+            return Some(Task::Publish(self.state));
         }
-        if !self.bans.is_empty() {
-            self.bans_out += 1;
-            return Some(self.bans.remove(0));
+        if !self.hold_outs.is_empty() {
+            self.hold_outs_running += 1;
+            return Some(self.hold_outs.remove(0));
         }
-        if self.look.take() {
-            self.looks += 1;
-            self.look_since = now;
-            return Some(Task::Look);
+        if self.scan.take() {
+            self.scans += 1;
+            self.scan_started = now;
+            return Some(Task::Scan);
         }
         self.reread.take().then_some(Task::Reread)
     }
@@ -286,28 +288,28 @@
             Done::Opened(Err(failure)) => {
                 vec![Change::Unusable(format!("cannot use $TMPDIR: {}", failure.why))]
             }
-            Done::Looked(view) => {
-                self.look.done();
+            Done::Scanned(view) => {
+                self.scan.done();
                 match view {
-                    Ok(view) => self.saw(view),
+                    Ok(view) => self.apply_view(view),
                     Err(why) => self.complain(now, "cannot read $TMPDIR", why).into_iter().collect(),
                 }
             }
-            Done::Told(told) => {
-                self.tell.done();
-                let Err(why) = told else { return Vec::new() };
-                self.tell_again = true;
+            Done::Published(result) => {
+                self.publish.done();
+                let Err(why) = result else { return Vec::new() };
+                self.publish_again = true;
                 self.complain(now, "cannot publish the state of this process", why).into_iter().collect()
             }
-            Done::HeldOut { caller, id, out, kept } => {
-                self.bans_out = self.bans_out.saturating_sub(1);
-                match (&kept, out) {
+            Done::HeldOut { caller, id, out, stored } => {
+                self.hold_outs_running = self.hold_outs_running.saturating_sub(1);
+                match (&stored, out) {
                     (Err(_), _) => {}
                     (Ok(()), true) => drop(self.view.held_out.insert(id.clone())),
                     (Ok(()), false) => drop(self.view.held_out.remove(&id)),
                 }
-                let ban = kept.is_ok().then_some(Change::Ban { id, out });
-                ban.into_iter().chain([Change::Kept { caller, out, kept }]).collect()
+                let hold_out = stored.is_ok().then_some(Change::HoldOut { id, out });
+                hold_out.into_iter().chain([Change::HoldOutStored { caller, out, stored }]).collect()
             }
             Done::Reread(config) => {
                 self.reread.done();
@@ -320,29 +322,30 @@
         }
     }
 
-    fn saw(&mut self, view: View) -> Vec<Change> {
-        let bans = view.held_out.symmetric_difference(&self.view.held_out);
-        let bans = bans.map(|id| Change::Ban { id: id.clone(), out: view.held_out.contains(id) });
-        let mut changes: Vec<_> = bans.collect();
-        let (other, first) = (view.other != self.view.other, !std::mem::replace(&mut self.seen, true));
-        (self.view, self.seen_by) = (view, self.looks);
+    fn apply_view(&mut self, view: View) -> Vec<Change> {
+        let hold_outs = view.held_out.symmetric_difference(&self.view.held_out);
+        let hold_outs =
+            hold_outs.map(|id| Change::HoldOut { id: id.clone(), out: view.held_out.contains(id) });
+        let mut changes: Vec<_> = hold_outs.collect();
+        let (other, first) = (view.other != self.view.other, !std::mem::replace(&mut self.is_scanned, true));
+        (self.view, self.view_scan) = (view, self.scans);
         if first {
-            changes.push(Change::Seen);
+            changes.push(Change::FirstScan);
         }
-        // After SIGTERM each look may be the first that shows a successor, even if nothing else changed.
-        if other || first || self.fresh_from.is_some() {
-            changes.push(Change::Other { anew: other });
+        // After SIGTERM each scan may be the first that shows a successor, even if nothing else changed.
+        if other || first || self.first_leaving_scan.is_some() {
+            changes.push(Change::OtherProcess { is_new: other });
         }
         changes
     }
 
-    /// Limits the rate: looks come 20 times a second, and a failing one would fill the log.
+    /// Limits the rate: scans come 20 times a second, and a failing one would fill the log.
     fn complain(&mut self, now: Micros, what: &'static str, why: String) -> Option<Change> {
-        let due = now >= self.complain_at;
+        let due = now >= self.next_complaint;
         if due {
-            self.complain_at = now + COMPLAIN;
+            self.next_complaint = now + COMPLAINT_INTERVAL;
         }
-        due.then_some(Change::Complain { what, why })
+        due.then_some(Change::Warning { what, why })
     }
 }
 
--- a/crates/gradeshunt/src/shared/worker.rs
+++ b/crates/gradeshunt/src/shared/worker.rs
@@ -14,7 +14,7 @@
 use crate::transient::is_transient;
 
 /// Capacity of the task queue: more than [`super::Shared`] ever has under way at a time.
-const TASKS: usize = 32;
+const QUEUE_LENGTH: usize = 32;
 /// Pause between two attempts to open the files.
 const OPEN_PAUSE: Duration = Duration::from_millis(100);
 
@@ -44,30 +44,30 @@
         config: Option<PathBuf>,
         waker: impl Wake + 'static,
     ) -> std::io::Result<Worker> {
-        let (tasks, to_do) = sync_channel::<Task>(TASKS);
-        let (tell, done) = sync_channel(TASKS + 1);
+        let (tasks, queue) = sync_channel::<Task>(QUEUE_LENGTH);
+        let (results, done) = sync_channel(QUEUE_LENGTH + 1);
         let work = move || {
-            let tell = |done| {
-                let told = tell.send(done).is_ok();
+            let send = |done| {
+                let sent = results.send(done).is_ok();
                 waker.wake();
-                told
+                sent
             };
             let mut files = loop {
                 match open() {
                     Ok(files) => break files,
                     Err(e) => {
                         let failure = OpenFailure { is_transient: is_transient(&e), why: e.to_string() };
-                        let goes_on = failure.is_transient;
-                        if !tell(Done::Opened(Err(failure))) || !goes_on {
+                        let retries = failure.is_transient;
+                        if !send(Done::Opened(Err(failure))) || !retries {
                             return;
                         }
                         thread::sleep(OPEN_PAUSE);
                     }
                 }
             };
-            let mut told = tell(Done::Opened(Ok(())));
-            while let (true, Ok(task)) = (told, to_do.recv()) {
-                told = tell(carry_out(&mut *files, config.as_deref(), task));
+            let mut sent = send(Done::Opened(Ok(())));
+            while let (true, Ok(task)) = (sent, queue.recv()) {
+                sent = send(carry_out(&mut *files, config.as_deref(), task));
             }
         };
         thread::Builder::new().name("files".to_owned()).spawn(work)?;
@@ -89,11 +89,11 @@
 
 fn carry_out(files: &mut dyn Files, config: Option<&Path>, task: Task) -> Done {
     match task {
-        Task::Look => Done::Looked(files.look().map_err(|e| e.to_string())),
-        Task::Tell(duty) => Done::Told(files.tell(duty).map_err(|e| e.to_string())),
+        Task::Scan => Done::Scanned(files.scan().map_err(|e| e.to_string())),
+        Task::Publish(duty) => Done::Published(files.publish(duty).map_err(|e| e.to_string())),
         Task::HoldOut { caller, id, out } => {
-            let kept = files.hold_out(&id, out).map_err(|e| e.to_string());
-            Done::HeldOut { caller, id, out, kept }
+            let stored = files.hold_out(&id, out).map_err(|e| e.to_string());
+            Done::HeldOut { caller, id, out, stored }
         }
         Task::Reread => Done::Reread(Config::load(config).map(Box::new)),
     }
--- a/crates/gradeshunt/src/shared/worker/tests.rs
+++ b/crates/gradeshunt/src/shared/worker/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of the part named by the folder.
+//! Tests of the worker's thread and queues.
 
 use std::sync::mpsc::Receiver;
 
-use super::super::{Duty, View};
+use super::super::{ProcessState, View};
 use super::*;
 use crate::ids::CallerId;
 
-/// A disk that stands until it is let go on, task by task.
-struct Standing(Receiver<()>);
+/// A disk that blocks until it is released, task by task.
+struct BlockedDisk(Receiver<()>);
 
-impl Files for Standing {
-    fn tell(&mut self, _: Duty) -> io::Result<()> {
+impl Files for BlockedDisk {
+    fn publish(&mut self, _: ProcessState) -> io::Result<()> {
         self.0.recv().map_err(io::Error::other)
     }
 
@@ -18,31 +18,34 @@
         self.0.recv().map_err(io::Error::other)
     }
 
-    fn look(&mut self) -> io::Result<View> {
+    fn scan(&mut self) -> io::Result<View> {
         self.0.recv().map_err(io::Error::other).map(|()| View::default())
     }
 }
 
-/// Guards the loop: while the disk stands it can go on asking, and is told of nothing that has not been done; what
-/// is done is done in the order in which it was asked for.
+/// Guards the event loop: while the disk blocks, the loop can go on submitting tasks, and nothing is reported
+/// as done that is not; tasks complete in the order in which they were submitted.
 #[test]
-fn a_disk_that_stands_keeps_nobody_waiting() {
-    let (go_on, standing) = sync_channel(TASKS);
+fn blocked_disk_does_not_block_the_loop() {
+    let (releaser, release) = sync_channel(QUEUE_LENGTH);
     let (ping, _source) = calloop::ping::make_ping().expect("a ping");
-    let mut standing = Some(standing);
+    let mut release = Some(release);
     let open = move || {
-        let standing = standing.take().ok_or(io::ErrorKind::NotFound)?;
-        Ok(Box::new(Standing(standing)) as Box<dyn Files>)
+        let release = release.take().ok_or(io::ErrorKind::NotFound)?;
+        Ok(Box::new(BlockedDisk(release)) as Box<dyn Files>)
     };
     let worker = Worker::start(open, None, ping).expect("a thread");
-    let ban = |n| Task::HoldOut { caller: CallerId(n), id: format!("s-{n}"), out: true };
-    assert!(worker.ask(Task::Look) && (0..16).all(|n| worker.ask(ban(n))));
-    assert!((0..TASKS).any(|_| !worker.ask(Task::Look)), "the queue is bounded, and full it does not wait");
+    let hold_out = |n| Task::HoldOut { caller: CallerId(n), id: format!("s-{n}"), out: true };
+    assert!(worker.ask(Task::Scan) && (0..16).all(|n| worker.ask(hold_out(n))));
+    assert!(
+        (0..QUEUE_LENGTH).any(|_| !worker.ask(Task::Scan)),
+        "the queue is bounded, and a full one does not block"
+    );
     assert!(matches!(worker.done.recv(), Ok(Done::Opened(Ok(())))));
-    assert!(worker.done().is_none(), "nothing is done while it stands");
-    (0..3).for_each(|_| go_on.send(()).expect("the worker takes it"));
-    assert!(matches!(worker.done.recv(), Ok(Done::Looked(Ok(_)))));
-    assert!(matches!(worker.done.recv(), Ok(Done::HeldOut { caller: CallerId(0), kept: Ok(()), .. })));
-    assert!(matches!(worker.done.recv(), Ok(Done::HeldOut { caller: CallerId(1), kept: Ok(()), .. })));
+    assert!(worker.done().is_none(), "nothing is done while the disk blocks");
+    (0..3).for_each(|_| releaser.send(()).expect("the worker is waiting"));
+    assert!(matches!(worker.done.recv(), Ok(Done::Scanned(Ok(_)))));
+    assert!(matches!(worker.done.recv(), Ok(Done::HeldOut { caller: CallerId(0), stored: Ok(()), .. })));
+    assert!(matches!(worker.done.recv(), Ok(Done::HeldOut { caller: CallerId(1), stored: Ok(()), .. })));
     assert!(worker.done().is_none());
 }
--- a/crates/gradeshunt/src/start_offset.rs
+++ b/crates/gradeshunt/src/start_offset.rs
@@ -1,9 +1,10 @@
 //! The offset between Unix time and the proxy's clock at the start of the process. The process's own wall
 //! clock shows it, possibly wrongly. A primary's position is always the present, so primaries' reports show
 //! the offset that all other machines have.
-//! | An offset that is too small makes replicas look more recent than they are. A primary's time is never
-//! ahead of the present, so the offset can always be raised to what a primary shows; it is lowered only to a
-//! value that several reports agree on.
+//!
+//! An offset that is too small makes replicas look more recent than they are. A primary's time is never ahead
+//! of the present, so the offset can always be raised to what a primary shows; it is lowered only to a value
+//! that several reports agree on.
 
 use leadmast::Micros;
 
--- a/crates/gradeshunt/src/transient.rs
+++ b/crates/gradeshunt/src/transient.rs
@@ -34,7 +34,8 @@
 
 /// Retries for a while when the system lacks a resource needed at start. No client is served yet whom the
 /// wait could delay.
-/// | # Errors
+///
+/// # Errors
 /// The last error, if it lasts too long or is not transient.
 pub fn retry_while_transient<T>(mut get: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let began = Instant::now();
