--- a/crates/gradeshunt/src/clock/tests.rs
+++ b/crates/gradeshunt/src/clock/tests.rs
@@ -42,7 +42,7 @@
 /// Guards starts of db hosts and commits of sessions: each is converted with the offset of its own time, and
 /// never to a moment in the future.
 #[test]
-fn time_is_read_with_the_distance_of_then() {
+fn time_is_converted_with_the_offset_of_its_own_time() {
     let mut clock = clock(HOUR);
     let now = clock.now();
     // All clocks were stepped forward by 10 s, 50 s ago.
@@ -63,7 +63,7 @@
 /// Guards slow start for a db host that restarts after a step back: the latest moment that its start can mean
 /// counts.
 #[test]
-fn ambiguous_time_is_the_latest_that_it_can_mean() {
+fn ambiguous_time_counts_as_its_latest_meaning() {
     let mut clock = clock(HOUR);
     let now = clock.now();
     clock.take_offset(HOUR - 40 * SECOND, now - 5 * SECOND);
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -73,10 +73,10 @@
     ) -> Result<Core, String> {
         let turn = Turn::new(event_loop.handle(), log);
         let facts = &config.facts;
-        let pace = discovery::Pace::new(&facts.settings);
+        let pace = discovery::WatchPolicy::new(&facts.settings);
         let mut discovery = Discovery::new(config.discovery, config.silence, facts.names.clone(), pace);
         let known = std::mem::take(&mut config.known);
-        let known = if known.is_null() { None } else { Some(discovery.known(&turn.clock, &known)?) };
+        let known = if known.is_null() { None } else { Some(discovery.read_known(&turn.clock, &known)?) };
         let tenants = config.tenants();
         let connect_timeout = facts.connections.connect_timeout;
         let placing = config.placement.take().map(|placement| Placing::new(placement, connect_timeout));
--- a/crates/gradeshunt/src/discovery/answer.rs
+++ b/crates/gradeshunt/src/discovery/answer.rs
@@ -4,9 +4,9 @@
 
 /// Longest line or list accepted: some 10,000 db hosts. Together with what is parsed from it, it takes only
 /// part of the 48 MB that the process may use.
-const LONGEST: usize = 2 * 1024 * 1024;
+const MAX_BODY: usize = 2 * 1024 * 1024;
 /// The part of the response that is parsed next.
-enum Part {
+enum Expected {
     Head,
     /// The size line of a chunk.
     ChunkSize,
@@ -23,36 +23,36 @@
 
 /// The response to a call, as far as it was received.
 pub struct Answer {
-    watch: bool,
-    part: Part,
+    is_watch: bool,
+    expected: Expected,
     /// The part of the body that is not consumed yet: an incomplete line of a watch, or a whole list.
     body: Vec<u8>,
     /// How much of the body has been searched for the end of a list, and the state of that search.
     searched: usize,
-    scan: Scan,
+    scanner: ListScanner,
 }
 
 /// Finds the end of each list in a watch. A list is one line, or is indented over many lines: a line end
 /// within an object does not end the list. A list that was cut off is recognized by what follows it: an empty
 /// line, or another object that starts in the first column.
 #[derive(Clone, Copy, Debug, Default)]
-struct Scan {
+struct ListScanner {
     depth: usize,
-    string: bool,
+    in_string: bool,
     escaped: bool,
     /// The next byte is the first of its line.
-    margin: bool,
+    at_line_start: bool,
 }
 
-impl Scan {
+impl ListScanner {
     /// Takes a byte; returns true if it ends a line outside any object.
     fn take(&mut self, byte: u8) -> Result<bool, String> {
-        let margin = std::mem::replace(&mut self.margin, byte == b'\n');
-        if self.depth > 0 && margin && matches!(byte, b'\n' | b'{') {
+        let at_line_start = std::mem::replace(&mut self.at_line_start, byte == b'\n');
+        if self.depth > 0 && at_line_start && matches!(byte, b'\n' | b'{') {
             return Err("a list that is cut off".into());
         }
-        if self.string {
-            (self.string, self.escaped) = match byte {
+        if self.in_string {
+            (self.in_string, self.escaped) = match byte {
                 // A string can't contain a line end, so this list was cut off.
                 b'\n' => return Err("a list that is cut off".into()),
                 _ if self.escaped => (true, false),
@@ -63,7 +63,7 @@
             return Ok(false);
         }
         match byte {
-            b'"' => self.string = true,
+            b'"' => self.in_string = true,
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => self.depth = self.depth.saturating_sub(1),
             b'\n' => return Ok(self.depth == 0),
@@ -75,23 +75,29 @@
 
 /// What the latest bytes have completed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Whole {
+pub struct Completed {
     /// Whether the head or a line is complete. Bytes alone don't count: a server that drips an endless line
     /// does not keep a watch alive.
-    pub any: bool,
+    pub has_any: bool,
     /// Complete lists of a watch, or empty lines.
     pub lists: Vec<Vec<u8>>,
 }
 
 impl Answer {
     /// Creates the parser for the response to a watch, or to a fetch of the whole list.
-    pub fn new(watch: bool) -> Self {
-        Answer { watch, part: Part::Head, body: Vec::new(), searched: 0, scan: Scan::default() }
+    pub fn new(is_watch: bool) -> Self {
+        Answer {
+            is_watch,
+            expected: Expected::Head,
+            body: Vec::new(),
+            searched: 0,
+            scanner: ListScanner::default(),
+        }
     }
 
     /// Returns whether the response is complete, given whether the connection has `ended`.
     pub fn is_done(&self, ended: bool) -> bool {
-        matches!(self.part, Part::Done) || ended && matches!(self.part, Part::UntilEnd)
+        matches!(self.expected, Expected::Done) || ended && matches!(self.expected, Expected::UntilEnd)
     }
 
     /// Takes out the body received so far.
@@ -100,51 +106,51 @@
     }
 
     /// Parses the received bytes.
-    pub fn take(&mut self, inbound: &mut Ring) -> Result<Whole, String> {
-        let mut whole = Whole::default();
+    pub fn take(&mut self, inbound: &mut Ring) -> Result<Completed, String> {
+        let mut completed = Completed::default();
         loop {
             let bytes = inbound.bytes();
-            let used = match self.part {
-                Part::Head => match head(bytes)? {
-                    Some((part, used)) => {
-                        self.part = part;
-                        whole.any = true;
+            let used = match self.expected {
+                Expected::Head => match parse_head(bytes)? {
+                    Some((expected, used)) => {
+                        self.expected = expected;
+                        completed.has_any = true;
                         used
                     }
                     None => break,
                 },
-                Part::ChunkSize => match httparse::parse_chunk_size(bytes) {
+                Expected::ChunkSize => match httparse::parse_chunk_size(bytes) {
                     Ok(httparse::Status::Complete((used, 0))) => {
-                        self.part = Part::Done;
+                        self.expected = Expected::Done;
                         used
                     }
                     Ok(httparse::Status::Complete((used, size))) => {
-                        self.part =
-                            Part::Chunk(usize::try_from(size).map_err(|_| "a chunk that is too long")?);
+                        self.expected =
+                            Expected::Chunk(usize::try_from(size).map_err(|_| "a chunk that is too long")?);
                         used
                     }
                     Ok(httparse::Status::Partial) => break,
                     Err(_) => return Err("invalid chunk size".into()),
                 },
-                Part::Chunk(left) | Part::Plain(left) => {
+                Expected::Chunk(left) | Expected::Plain(left) => {
                     let used = left.min(bytes.len());
                     self.body.extend(&bytes[..used]);
-                    let chunk = matches!(self.part, Part::Chunk(_));
-                    self.part = match (left - used, chunk) {
-                        (0, true) => Part::ChunkEnd,
-                        (0, false) => Part::Done,
-                        (left, true) => Part::Chunk(left),
-                        (left, false) => Part::Plain(left),
+                    let is_chunk = matches!(self.expected, Expected::Chunk(_));
+                    self.expected = match (left - used, is_chunk) {
+                        (0, true) => Expected::ChunkEnd,
+                        (0, false) => Expected::Done,
+                        (left, true) => Expected::Chunk(left),
+                        (left, false) => Expected::Plain(left),
                     };
                     used
                 }
-                Part::ChunkEnd if bytes.starts_with(b"\r\n") => {
-                    self.part = Part::ChunkSize;
+                Expected::ChunkEnd if bytes.starts_with(b"\r\n") => {
+                    self.expected = Expected::ChunkSize;
                     2
                 }
-                Part::ChunkEnd if bytes.len() >= 2 => return Err("a chunk without a line end".into()),
-                Part::ChunkEnd | Part::Done => break,
-                Part::UntilEnd => {
+                Expected::ChunkEnd if bytes.len() >= 2 => return Err("a chunk without a line end".into()),
+                Expected::ChunkEnd | Expected::Done => break,
+                Expected::UntilEnd => {
                     self.body.extend(bytes);
                     bytes.len()
                 }
@@ -158,26 +164,26 @@
         if inbound.is_full() {
             return Err("a response head that is too long".into());
         }
-        if self.body.len() > LONGEST {
+        if self.body.len() > MAX_BODY {
             return Err("a list that is too long".into());
         }
-        if self.watch {
+        if self.is_watch {
             let mut from = 0;
             for at in self.searched..self.body.len() {
-                if self.scan.take(self.body[at])? {
-                    whole.lists.push(self.body[from..=at].to_vec());
-                    (whole.any, from) = (true, at + 1);
+                if self.scanner.take(self.body[at])? {
+                    completed.lists.push(self.body[from..=at].to_vec());
+                    (completed.has_any, from) = (true, at + 1);
                 }
             }
             self.body.drain(..from);
             self.searched = self.body.len();
         }
-        Ok(whole)
+        Ok(completed)
     }
 }
 
 /// Parses the head of a response. Returns how its body is delimited, and the length of the head.
-fn head(bytes: &[u8]) -> Result<Option<(Part, usize)>, String> {
+fn parse_head(bytes: &[u8]) -> Result<Option<(Expected, usize)>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
     let used = match response.parse(bytes).map_err(|e| format!("invalid HTTP response: {e}"))? {
@@ -192,15 +198,15 @@
         found.and_then(|h| std::str::from_utf8(h.value).ok()).map(str::trim)
     };
     if header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
-        return Ok(Some((Part::ChunkSize, used)));
+        return Ok(Some((Expected::ChunkSize, used)));
     }
-    let part = match header("content-length").map(str::parse) {
-        Some(Ok(0)) => Part::Done,
-        Some(Ok(length)) => Part::Plain(length),
+    let expected = match header("content-length").map(str::parse) {
+        Some(Ok(0)) => Expected::Done,
+        Some(Ok(length)) => Expected::Plain(length),
         Some(Err(_)) => return Err("invalid Content-Length".into()),
-        None => Part::UntilEnd,
+        None => Expected::UntilEnd,
     };
-    Ok(Some((part, used)))
+    Ok(Some((expected, used)))
 }
 
 #[cfg(test)]
--- a/crates/gradeshunt/src/discovery/answer/tests.rs
+++ b/crates/gradeshunt/src/discovery/answer/tests.rs
@@ -10,7 +10,7 @@
         // Like a read from a socket: no more than fits.
         assert!(ring.push(&piece[..piece.len().min(crate::ring::LARGEST - ring.len())]));
         match answer.take(&mut ring) {
-            Ok(w) => whole += usize::from(w.any),
+            Ok(w) => whole += usize::from(w.has_any),
             Err(_) => return (Some(n), whole),
         }
     }
@@ -26,7 +26,7 @@
 /// Guards against a watch that is kept alive by bytes that complete nothing: the proxy would miss drains
 /// meanwhile.
 #[test]
-fn endless_line_shows_no_life_and_ends_by_its_size() {
+fn endless_line_does_not_keep_a_watch_alive_and_is_bounded() {
     let mut answer = Answer::new(true);
     assert_eq!(feed(&mut answer, [HEAD.to_vec()]), (None, 1));
     assert_eq!(
@@ -41,7 +41,7 @@
 
 /// Guards against heads, chunk sizes and bodies that never end.
 #[test]
-fn endless_heads_and_bodies_end_by_their_size() {
+fn endless_heads_and_bodies_are_bounded() {
     let endless = |first: &[u8], piece: &[u8]| {
         let mut answer = Answer::new(false);
         let rest = vec![piece.to_vec(); 3 * 1024 * 1024 / piece.len()];
@@ -57,7 +57,7 @@
 /// recognized at once by what follows it: a watch that waited for the rest would deliver nothing until it
 /// counts as silent.
 #[test]
-fn indented_list_is_one_and_a_cut_one_none() {
+fn indented_list_is_accepted_and_a_truncated_one_rejected() {
     let lists = |pieces: &[&[u8]]| {
         let (mut answer, mut ring, mut lists) = (Answer::new(true), Ring::default(), Vec::new());
         for piece in [HEAD.to_vec()].into_iter().chain(pieces.iter().map(|p| chunk(p))) {
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -17,9 +17,9 @@
 use crate::unix_time::STEP_TOLERANCE;
 
 /// How many unreadable entries of a list are reported one by one.
-const TOLD: usize = 3;
+const MAX_REPORTED: usize = 3;
 /// How many zones are distinguished. There are a handful; any beyond that count as the last one.
-const ZONES: usize = 64;
+const MAX_ZONES: usize = 64;
 
 /// A list or an update of it, or the failure to get one.
 pub struct News {
@@ -56,7 +56,7 @@
     starts: HashMap<MemberId, Start>,
     /// Db hosts listed with a start time before primaries had shown the clock offset: it may have been read
     /// wrongly.
-    unshown: BTreeMap<MemberId, Entry>,
+    unconfirmed: BTreeMap<MemberId, Entry>,
     next: u32,
     generation: u64,
 }
@@ -67,7 +67,7 @@
             names,
             numbers: HashMap::new(),
             starts: HashMap::new(),
-            unshown: BTreeMap::new(),
+            unconfirmed: BTreeMap::new(),
             next: 0,
             generation: 0,
         }
@@ -89,19 +89,19 @@
     }
 
     /// Reads one line of a watch; returns `None` for an empty one.
-    pub fn line(&mut self, clock: &Clock, line: &[u8], after: u64) -> Result<Option<News>, String> {
+    pub fn read_line(&mut self, clock: &Clock, line: &[u8], after: u64) -> Result<Option<News>, String> {
         let text = std::str::from_utf8(line).map_err(|e| format!("a list that is not UTF-8: {e}"))?;
         if text.trim().is_empty() {
             return Ok(None);
         }
-        self.news(clock, text, after).map(Some)
+        self.read_list(clock, text, after).map(Some)
     }
 
     /// Reads a list from a call that asked for the changes after the version `after`. A list that can't be
     /// parsed as a whole is rejected. A list is also ignored if another call has delivered a later version
     /// since, because it would undo what is known, drains included. A version from before the call's `after`
     /// is accepted: discovery has restarted its numbering.
-    pub fn news(&mut self, clock: &Clock, text: &str, after: u64) -> Result<News, String> {
+    pub fn read_list(&mut self, clock: &Clock, text: &str, after: u64) -> Result<News, String> {
         let bad = |e: serde_json::Error| format!("a list that is not JSON: {e}");
         let fields: BTreeMap<String, &RawValue> = serde_json::from_str(text).map_err(bad)?;
         let field = |name| fields.get(name).and_then(|raw| serde_json::from_str::<Value>(raw.get()).ok());
@@ -119,14 +119,14 @@
             // One malformed entry must not hide a drain among the others.
             let entry =
                 serde_json::from_str(raw.get()).map_err(|e| format!("an instance that is not JSON: {e}"));
-            match entry.and_then(|v| self.entry(clock, &v)) {
+            match entry.and_then(|v| self.read_entry(clock, &v)) {
                 Ok((id, entry, addr)) => {
                     news.listed.push(Listed { id, member: entry.member, addr, phase: entry.phase });
                     news.entries.push(entry);
                 }
                 Err(what) => {
                     news.unreadable += 1;
-                    news.why.extend((news.unreadable <= TOLD).then_some(what));
+                    news.why.extend((news.unreadable <= MAX_REPORTED).then_some(what));
                 }
             }
         }
@@ -144,9 +144,9 @@
         self.starts.retain(|member, _| numbers.contains(member));
         if !clock.is_shown(clock.now()) {
             let started = news.entries.iter().filter(|e| e.since.is_some());
-            self.unshown.extend(started.map(|e| (e.member, e.clone())));
+            self.unconfirmed.extend(started.map(|e| (e.member, e.clone())));
         }
-        self.unshown.retain(|member, _| numbers.contains(member));
+        self.unconfirmed.retain(|member, _| numbers.contains(member));
         self.generation = generation;
         Ok(news)
     }
@@ -154,11 +154,11 @@
     /// Returns the entries whose start times were read with a clock offset that primaries have corrected
     /// since. Otherwise a db host that has just started would count as warm.
     pub fn corrected_starts(&mut self, clock: &Clock) -> Option<News> {
-        if self.unshown.is_empty() || !clock.is_shown(clock.now()) {
+        if self.unconfirmed.is_empty() || !clock.is_shown(clock.now()) {
             return None;
         }
         let mut news = News::new(ListKind::Incremental);
-        for (member, mut entry) in std::mem::take(&mut self.unshown) {
+        for (member, mut entry) in std::mem::take(&mut self.unconfirmed) {
             let Some(start) = self.starts.get_mut(&member) else { continue };
             let at = clock.latest_at_unix_ms(start.unix_ms);
             if at > start.at + STEP_TOLERANCE {
@@ -170,7 +170,7 @@
     }
 
     /// Converts the start time of a db host from Unix time in milliseconds to the proxy's clock.
-    fn start(&mut self, clock: &Clock, member: MemberId, unix_ms: f64) -> Micros {
+    fn start_time(&mut self, clock: &Clock, member: MemberId, unix_ms: f64) -> Micros {
         let known = self.starts.get(&member).filter(|start| start.unix_ms == unix_ms);
         let at = known.map_or_else(|| clock.latest_at_unix_ms(unix_ms), |start| start.at);
         self.starts.insert(member, Start { unix_ms, at });
@@ -178,16 +178,16 @@
     }
 
     /// A zone that the settings don't name still gets a number of its own.
-    fn zone(&mut self, name: &str) -> ZoneId {
+    fn zone_id(&mut self, name: &str) -> ZoneId {
         self.names.zone(name).unwrap_or_else(|_| {
-            if self.names.zones.len() < ZONES {
+            if self.names.zones.len() < MAX_ZONES {
                 self.names.zones.push(name.to_owned());
             }
             ZoneId(self.names.zones.len() - 1)
         })
     }
 
-    fn entry(&mut self, clock: &Clock, v: &Value) -> Result<(String, Entry, SocketAddr), String> {
+    fn read_entry(&mut self, clock: &Clock, v: &Value) -> Result<(String, Entry, SocketAddr), String> {
         let text = |key: &str| {
             v.get(key).and_then(Value::as_str).ok_or_else(|| format!("an instance without {key}"))
         };
@@ -211,9 +211,9 @@
             member,
             common: fnv(id),
             group,
-            zone: self.zone(zone),
+            zone: self.zone_id(zone),
             weight: v.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
-            since: since.map(|ms| self.start(clock, member, ms)),
+            since: since.map(|ms| self.start_time(clock, member, ms)),
             phase,
             leader: v.get("replication").and_then(Value::as_str) == Some("primary"),
         };
--- a/crates/gradeshunt/src/discovery/list/tests.rs
+++ b/crates/gradeshunt/src/discovery/list/tests.rs
@@ -8,19 +8,20 @@
 fn forgets_names_that_are_gone() {
     let names = Names { zones: vec!["a".into()], ..Names::default() };
     let mut reader = Reader::new(names);
-    let mut told = |id: &str, lifecycle: &str, reset: bool| {
+    let mut read = |id: &str, lifecycle: &str, reset: bool| {
         let list = serde_json::json!({"generation": 1, "reset": reset, "instances": [{"instanceId": id,
             "hostPort": "127.0.0.1:1", "zone": "a", "cell": 1, "lifecycle": lifecycle}]});
-        let member = reader.news(&Clock::start(), &list.to_string(), 0).expect("a list").entries[0].member;
+        let member =
+            reader.read_list(&Clock::start(), &list.to_string(), 0).expect("a list").entries[0].member;
         (member, reader.numbers.len())
     };
     for n in 0..100 {
-        assert_eq!(told(&format!("s-{n}"), "ready", false), (MemberId(n), 1));
-        assert_eq!(told(&format!("s-{n}"), "gone", false), (MemberId(n), 0));
+        assert_eq!(read(&format!("s-{n}"), "ready", false), (MemberId(n), 1));
+        assert_eq!(read(&format!("s-{n}"), "gone", false), (MemberId(n), 0));
     }
-    assert_eq!(told("s-0", "ready", false), (MemberId(100), 1), "it returns with another number");
-    assert_eq!(told("s-0", "draining", false), (MemberId(100), 1));
-    assert_eq!(told("s-1", "ready", true), (MemberId(101), 1));
+    assert_eq!(read("s-0", "ready", false), (MemberId(100), 1), "it returns with another number");
+    assert_eq!(read("s-0", "draining", false), (MemberId(100), 1));
+    assert_eq!(read("s-1", "ready", true), (MemberId(101), 1));
 }
 
 fn reader() -> Reader {
@@ -30,7 +31,7 @@
 /// Guards the event loop against long lists: work that grows with the square of their length blocks the loop
 /// for seconds.
 #[test]
-fn list_of_thousands_is_taken_and_the_next_one_forgets_it() {
+fn long_list_is_accepted_and_replaced_by_the_next() {
     let instance = |n: usize| {
         format!(
             r#"{{"instanceId":"s-{n}","hostPort":"127.0.0.1:1","zone":"z{n}","cell":1,"lifecycle":"ready"}}"#
@@ -41,58 +42,58 @@
         format!(r#"{{"generation":1,"reset":true,"instances":[{}]}}"#, all.join(","))
     };
     let (mut reader, clock) = (reader(), Clock::start());
-    let news = reader.news(&clock, &list(10_000), 0).expect("a list");
+    let news = reader.read_list(&clock, &list(10_000), 0).expect("a list");
     assert_eq!((news.entries.len(), news.unreadable, reader.numbers.len()), (10_000, 0, 10_000));
-    assert_eq!(reader.names.zones.len(), ZONES, "zones beyond the limit count as the last one");
-    reader.news(&clock, &list(3), 0).expect("a list");
+    assert_eq!(reader.names.zones.len(), MAX_ZONES, "zones beyond the limit count as the last one");
+    reader.read_list(&clock, &list(3), 0).expect("a list");
     assert_eq!(reader.numbers.len(), 3);
 }
 
 /// Guards the log and the memory: of thousands of malformed entries three are reported, and none keeps a
 /// number.
 #[test]
-fn odd_entries_cost_themselves_alone() {
+fn malformed_entries_are_skipped_and_counted() {
     let odd = r#"{"instanceId":"odd","hostPort":"127.0.0.1:1","lifecycle":"ready"},[],7,"#.repeat(3_000);
     let good = r#"{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a","cell":1,"lifecycle":"draining"}"#;
     let mut reader = reader();
     let text = format!(r#"{{"generation":5,"instances":[{odd}{good},{good}]}}"#);
-    let news = reader.news(&Clock::start(), &text, 0).expect("a list");
-    assert_eq!((news.unreadable, news.why.len(), reader.numbers.len()), (9_000, TOLD, 1));
+    let news = reader.read_list(&Clock::start(), &text, 0).expect("a list");
+    assert_eq!((news.unreadable, news.why.len(), reader.numbers.len()), (9_000, MAX_REPORTED, 1));
     assert!(news.entries.iter().all(|e| e.phase == Phase::Draining && e.member == MemberId(0)));
 }
 
 /// Guards against a truncated list: the known list and its version stay in force.
 #[test]
-fn list_that_is_cut_or_none_changes_nothing() {
+fn truncated_or_malformed_list_changes_nothing() {
     let mut reader = reader();
     let clock = Clock::start();
     let good = r#"{"generation":5,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a","cell":1,"lifecycle":"ready"}]}"#;
-    reader.news(&clock, good, 0).expect("a list");
+    reader.read_list(&clock, good, 0).expect("a list");
     let cut = good.replace("s-1", "s-2").replace('5', "6");
     let deep = "[".repeat(100_000);
     let cuts = (0..cut.len()).map(|n| &cut[..n]).filter(|c| !c.is_empty());
     for text in cuts.chain([r#"{"instances":{}}"#, r#"{"instances":"none"}"#, "[]", "7", &deep]) {
-        assert!(reader.line(&clock, text.as_bytes(), 0).is_err(), "{text}");
+        assert!(reader.read_line(&clock, text.as_bytes(), 0).is_err(), "{text}");
         assert_eq!((reader.generation(), reader.member("s-2")), (5, None), "{text}");
     }
-    assert!(reader.line(&clock, b"\xff", 0).is_err());
+    assert!(reader.read_line(&clock, b"\xff", 0).is_err());
     assert_eq!(reader.member("s-1"), Some(MemberId(0)));
 }
 
 /// Guards what one call has delivered against an older version that another call delivers later: a drain
 /// stays in force. Discovery that restarts its numbering is still believed.
 #[test]
-fn older_list_than_another_call_has_told_changes_nothing() {
+fn older_list_than_another_call_delivered_changes_nothing() {
     let list = |generation: u64, lifecycle: &str| {
         format!(
             r#"{{"generation":{generation},"reset":true,"instances":[{{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a","cell":1,"lifecycle":"{lifecycle}"}}]}}"#
         )
     };
     let (mut reader, clock) = (reader(), Clock::start());
-    reader.news(&clock, &list(43, "draining"), 41).expect("a list");
-    let late = reader.news(&clock, &list(42, "ready"), 41).expect("a list");
+    reader.read_list(&clock, &list(43, "draining"), 41).expect("a list");
+    let late = reader.read_list(&clock, &list(42, "ready"), 41).expect("a list");
     assert!(late.kind == ListKind::Incremental && late.entries.is_empty() && reader.generation() == 43);
-    let anew = reader.news(&clock, &list(7, "ready"), 41).expect("a list");
+    let anew = reader.read_list(&clock, &list(7, "ready"), 41).expect("a list");
     assert_eq!((anew.entries.len(), anew.entries[0].phase, reader.generation()), (1, Phase::Up, 7));
 }
 
@@ -100,7 +101,7 @@
 /// start, and a db host that restarts after a step back, whose start has an earlier Unix time, counts as just
 /// started.
 #[test]
-fn restart_after_a_step_back_is_seen_and_a_start_told_again_is_none() {
+fn restart_after_a_step_back_counts_and_a_repeated_start_does_not() {
     const HOUR_MS: i64 = 3_600_000;
     let (mut reader, mut clock) = (reader(), Clock::start());
     let unix_ms = |clock: &Clock| (clock.now() + clock.offset()) / 1000;
@@ -109,7 +110,7 @@
             r#"{{"generation":1,"reset":true,"instances":[{{"instanceId":"s","hostPort":"127.0.0.1:1","zone":"a","cell":1,
                 "lifecycle":"ready","startedAtMs":{started_ms}}}]}}"#
         );
-        reader.news(clock, &list, 0).expect("a list").entries[0].since.expect("a start")
+        reader.read_list(clock, &list, 0).expect("a list").entries[0].since.expect("a start")
     };
     let started = unix_ms(&clock) - 30_000;
     let first = since(&clock, started);
@@ -127,7 +128,7 @@
 /// Guards slow start where the proxy's process starts with its own clock ahead: a db host that has just
 /// started must not count as warm once primaries have shown the time.
 #[test]
-fn start_that_was_read_with_a_wrong_clock_is_told_again_once_the_time_is_shown() {
+fn start_read_with_a_wrong_clock_is_corrected_once_the_offset_is_confirmed() {
     const AHEAD_MS: i64 = 30_000;
     let (mut reader, mut clock) = (reader(), Clock::start());
     let own_unix_ms = |clock: &Clock| (clock.now() + clock.offset()) / 1000;
@@ -136,7 +137,7 @@
         r#"{{"generation":1,"reset":true,"instances":[{{"instanceId":"s","hostPort":"127.0.0.1:1","zone":"a","cell":1,
             "lifecycle":"ready","startedAtMs":{started_ms}}}]}}"#
     );
-    let told = reader.news(&clock, &list, 0).expect("a list").entries[0].since.expect("a start");
+    let told = reader.read_list(&clock, &list, 0).expect("a list").entries[0].since.expect("a start");
     assert!(told <= clock.now() - 29_000_000, "it counts as warm");
     assert!(reader.corrected_starts(&clock).is_none(), "no primary has shown the time");
     let offset = clock.offset();
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -23,41 +23,41 @@
 use crate::turn::{Polled, Source, Turn};
 
 /// Most reads of one call in one turn.
-const READS: usize = 8;
+const MAX_READS: usize = 8;
 /// When discovery falls silent for all proxies of a fleet at once, they spread the reopening of their watches
 /// over this time.
-const REOPEN_WITHIN: Micros = 500_000;
+const REOPEN_SPREAD: Micros = 500_000;
 
 /// How the list arrives, and how soon a watch that has ended is reopened.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct WatchPolicy {
     /// Set where the list is pushed: the proxy then counts as informed of all that the agent has, with or
     /// without a watch. A watch is open from the start, and one that has ended is reopened after this long.
     /// `None` where the decision library says when to ask.
     pub pushed: Option<Micros>,
     /// This proxy's place in the order of its fleet, from 0 to 1.
-    pub turn: f64,
+    pub fleet_position: f64,
 }
 
-impl Pace {
+impl WatchPolicy {
     pub fn new(settings: &Settings) -> Self {
         // A drain announced while no watch is open must be learned of well within its grace period.
         let pushed = (!settings.list_on_request).then_some((settings.rules.drain_grace / 4).max(1_000));
-        let turn = (f64::from(settings.me) + 0.5) / f64::from(settings.fleet.max(1));
-        Pace { pushed, turn }
+        let fleet_position = (f64::from(settings.me) + 0.5) / f64::from(settings.fleet.max(1));
+        WatchPolicy { pushed, fleet_position }
     }
 }
 
 struct Call {
     ask: Ask,
     /// A watch at the former address: it is read until its successor has delivered the list.
-    former: bool,
+    is_former: bool,
     polled: Polled,
     inbound: Ring,
     outbound: Ring,
     answer: Answer,
     /// The version of the list after which this call asked for changes.
-    after: u64,
+    since_version: u64,
     /// Time by which something must be complete: the head, a line, the list. Bytes alone don't extend it: a
     /// server that drips an endless line would keep the watch open without delivering any news.
     due: Micros,
@@ -67,28 +67,28 @@
 pub struct Discovery {
     addr: SocketAddr,
     silence: Micros,
-    pace: Pace,
+    policy: WatchPolicy,
     /// When a watch is to be reopened, if one is.
-    reopen: Option<Micros>,
+    reopen_at: Option<Micros>,
     reader: Reader,
     /// Whether discovery has delivered a list.
-    is_heard: bool,
+    has_list: bool,
     calls: BTreeMap<CallId, Call>,
-    next: u64,
+    next_call: u64,
 }
 
 impl Discovery {
-    pub fn new(addr: SocketAddr, silence: Micros, names: Names, pace: Pace) -> Self {
+    pub fn new(addr: SocketAddr, silence: Micros, names: Names, policy: WatchPolicy) -> Self {
         let reader = Reader::new(names);
         Discovery {
             addr,
             silence,
-            pace,
-            reopen: None,
+            policy,
+            reopen_at: None,
             reader,
-            is_heard: false,
+            has_list: false,
             calls: BTreeMap::new(),
-            next: 0,
+            next_call: 0,
         }
     }
 
@@ -100,29 +100,29 @@
 
     /// Reopens the watch if that is due.
     pub fn reopen_due(&mut self, turn: &mut Turn, news: &mut Vec<News>) {
-        if self.reopen.take_if(|at| *at <= turn.now).is_some() {
+        if self.reopen_at.take_if(|at| *at <= turn.now).is_some() {
             self.ask(turn, Ask::Watch, news);
         }
     }
 
     fn reopen_in(&mut self, turn: &mut Turn, wait: Micros) {
         let at = turn.now + wait;
-        if let Some(before) = self.reopen.replace(at) {
+        if let Some(before) = self.reopen_at.replace(at) {
             turn.deadlines.clear(before, Due::Reopen);
         }
         turn.deadlines.set(at, Due::Reopen);
     }
 
     /// Reads the list in the configuration, which may be outdated.
-    pub fn known(&mut self, clock: &Clock, known: &Value) -> Result<News, String> {
-        let news = self.reader.news(clock, &known.to_string(), 0)?;
+    pub fn read_known(&mut self, clock: &Clock, known: &Value) -> Result<News, String> {
+        let news = self.reader.read_list(clock, &known.to_string(), 0)?;
         Ok(News { kind: ListKind::Saved, ..news })
     }
 
     /// Returns db hosts whose start times were read wrongly before primaries had shown the clock offset.
     /// Returns `None` before the first list from discovery: what the configuration lists is no news.
     pub fn corrected_starts(&mut self, clock: &Clock) -> Option<News> {
-        if !self.is_heard {
+        if !self.has_list {
             return None;
         }
         self.reader.corrected_starts(clock)
@@ -141,19 +141,19 @@
     /// Opens a watch or fetches the list; a failure is reported in `news`.
     pub fn ask(&mut self, turn: &mut Turn, ask: Ask, news: &mut Vec<News>) {
         // One watch at a time: a second would only repeat the first.
-        if ask == Ask::Watch && self.calls.values().any(|c| c.ask == Ask::Watch && !c.former) {
+        if ask == Ask::Watch && self.calls.values().any(|c| c.ask == Ask::Watch && !c.is_former) {
             return;
         }
         if let Err(e) = self.call(turn, ask) {
             warn!(turn.log, "discovery cannot be reached"; "error" => e.to_string());
-            self.failed(turn, ask, kind_of(&e), news);
+            self.handle_failure(turn, ask, classify_error(&e), news);
         }
     }
 
     /// Handles a call that failed. Where the list is pushed, a watch is reopened; otherwise the decision
     /// library says when to ask.
-    fn failed(&mut self, turn: &mut Turn, ask: Ask, kind: ListKind, news: &mut Vec<News>) {
-        match self.pace.pushed {
+    fn handle_failure(&mut self, turn: &mut Turn, ask: Ask, kind: ListKind, news: &mut Vec<News>) {
+        match self.policy.pushed {
             Some(wait) if ask == Ask::Watch => self.reopen_in(turn, wait),
             _ => news.push(News::new(kind)),
         }
@@ -166,13 +166,13 @@
         if std::mem::replace(&mut self.addr, addr) == addr {
             return;
         }
-        self.calls.values_mut().for_each(|c| c.former = true);
+        self.calls.values_mut().for_each(|c| c.is_former = true);
         self.ask(turn, Ask::Watch, news);
     }
 
     fn call(&mut self, turn: &mut Turn, ask: Ask) -> io::Result<()> {
-        let id = CallId(self.next);
-        self.next += 1;
+        let id = CallId(self.next_call);
+        self.next_call += 1;
         let path = match ask {
             Ask::Watch => format!("/api/targets?stream=1&index={}", self.reader.generation()),
             Ask::Fetch => "/api/targets".to_owned(),
@@ -188,8 +188,8 @@
         turn.deadlines.set(due, Due::Call(id));
         let inbound = Ring::default();
         let answer = Answer::new(ask == Ask::Watch);
-        let after = self.reader.generation();
-        let call = Call { ask, former: false, polled, inbound, outbound, answer, after, due };
+        let since_version = self.reader.generation();
+        let call = Call { ask, is_former: false, polled, inbound, outbound, answer, since_version, due };
         self.calls.insert(id, call);
         Ok(())
     }
@@ -198,17 +198,17 @@
         let Some(call) = self.calls.get(&id).filter(|c| c.due <= turn.now) else { return };
         // Discovery may be available even if this watch never delivered anything. Another watch is opened
         // before the time runs out after which its news counts as known.
-        if call.ask == Ask::Watch && !call.former && self.pace.pushed.is_none() {
+        if call.ask == Ask::Watch && !call.is_former && self.policy.pushed.is_none() {
             warn!(turn.log, "watch has fallen silent, opening another");
             self.end(turn, id);
-            let wait = REOPEN_WITHIN as f64 * self.pace.turn;
+            let wait = REOPEN_SPREAD as f64 * self.policy.fleet_position;
             return self.reopen_in(turn, wait as Micros);
         }
         self.fail(turn, id, "silent for too long", news);
     }
 
     pub fn ready(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) {
-        for _ in 0..READS {
+        for _ in 0..MAX_READS {
             let Some(call) = self.calls.get_mut(&id) else { return };
             let moved =
                 call.outbound.drain(&call.polled.socket).and_then(|_| call.inbound.fill(&call.polled.socket));
@@ -217,21 +217,21 @@
                 Ok(Moved::Nothing) => return,
                 Ok(Moved::End) => true,
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
-                Err(e) => return self.fail_as(turn, id, &e.to_string(), kind_of(&e), news),
+                Err(e) => return self.fail_as(turn, id, &e.to_string(), classify_error(&e), news),
             };
             let before = news.len();
-            let taken = self.take(turn, id, news);
-            self.is_heard |= news.len() > before;
-            if let Err(what) = taken {
+            let read = self.read_answer(turn, id, news);
+            self.has_list |= news.len() > before;
+            if let Err(what) = read {
                 return self.fail(turn, id, &what, news);
             }
             let Some(call) = self.calls.get_mut(&id) else { return };
             let done = call.answer.is_done(ended);
             if call.ask == Ask::Fetch && done {
                 let body = call.answer.body();
-                match self.reader.line(&turn.clock, &body, call.after) {
+                match self.reader.read_line(&turn.clock, &body, call.since_version) {
                     Ok(Some(n)) => {
-                        self.is_heard = true;
+                        self.has_list = true;
                         news.push(n);
                     }
                     Ok(None) => return self.fail(turn, id, "an empty list", news),
@@ -252,15 +252,15 @@
     }
 
     /// Takes the received part of an answer, which may be split anywhere.
-    fn take(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) -> Result<(), String> {
+    fn read_answer(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) -> Result<(), String> {
         let Some(call) = self.calls.get_mut(&id) else { return Ok(()) };
-        let whole = call.answer.take(&mut call.inbound)?;
+        let completed = call.answer.take(&mut call.inbound)?;
         if call.ask == Ask::Watch {
-            for list in whole.lists {
-                news.extend(self.reader.line(&turn.clock, &list, call.after)?);
+            for list in completed.lists {
+                news.extend(self.reader.read_line(&turn.clock, &list, call.since_version)?);
             }
         }
-        if whole.any {
+        if completed.has_any {
             turn.deadlines.clear(call.due, Due::Call(id));
             call.due = turn.now + self.silence;
             turn.deadlines.set(call.due, Due::Call(id));
@@ -275,20 +275,21 @@
 
     fn fail_as(&mut self, turn: &mut Turn, id: CallId, why: &str, kind: ListKind, news: &mut Vec<News>) {
         let Some(call) = self.calls.get(&id) else { return };
-        let (former, ask) = (call.former, call.ask);
+        let (former, ask) = (call.is_former, call.ask);
         self.end(turn, id);
         // Its successor is under way, or the decision library knows that the successor has failed.
         if former {
             return info!(turn.log, "former watch ended"; "why" => why);
         }
         warn!(turn.log, "call to discovery failed"; "why" => why);
-        self.failed(turn, ask, kind, news);
+        self.handle_failure(turn, ask, kind, news);
     }
 
     /// Ends the watches at the former address once their successor `id` has delivered the list.
     fn end_former(&mut self, turn: &mut Turn, id: CallId) {
-        if self.calls.get(&id).is_some_and(|c| !c.former) {
-            let former = self.calls.iter().filter(|(_, c)| c.former).map(|(id, _)| *id).collect::<Vec<_>>();
+        if self.calls.get(&id).is_some_and(|c| !c.is_former) {
+            let former =
+                self.calls.iter().filter(|(_, c)| c.is_former).map(|(id, _)| *id).collect::<Vec<_>>();
             former.into_iter().for_each(|id| self.end(turn, id));
         }
     }
@@ -303,7 +304,7 @@
 
 /// Classifies a system error of a call: a refused connection means that discovery is not there; anything else
 /// says only that this connection is broken.
-fn kind_of(error: &io::Error) -> ListKind {
+fn classify_error(error: &io::Error) -> ListKind {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => ListKind::Failed,
         _ => ListKind::Broken,
--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -13,7 +13,7 @@
 const SILENCE: Micros = 3_000_000;
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-struct Play {
+struct Fixture {
     turn: Turn,
     discovery: Discovery,
     agent: TcpListener,
@@ -21,18 +21,19 @@
     _poll: EventLoop<'static, Ready>,
 }
 
-impl Play {
+impl Fixture {
     /// A proxy with the place `at` in the order of its fleet, with a watch opened at time 0.
-    fn open(at: f64, pushed: Option<Micros>) -> Play {
+    fn open(at: f64, pushed: Option<Micros>) -> Fixture {
         let poll = EventLoop::<Ready>::try_new().expect("a poll");
         let turn = Turn::new(poll.handle(), Logger::root(Discard, o!()));
         let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = agent.local_addr().expect("an address");
-        let discovery = Discovery::new(addr, SILENCE, Names::default(), Pace { pushed, turn: at });
-        let mut play = Play { turn, discovery, agent, news: Vec::new(), _poll: poll };
-        play.turn.now = 0;
-        play.discovery.ask(&mut play.turn, Ask::Watch, &mut play.news);
-        play
+        let discovery =
+            Discovery::new(addr, SILENCE, Names::default(), WatchPolicy { pushed, fleet_position: at });
+        let mut fixture = Fixture { turn, discovery, agent, news: Vec::new(), _poll: poll };
+        fixture.turn.now = 0;
+        fixture.discovery.ask(&mut fixture.turn, Ask::Watch, &mut fixture.news);
+        fixture
     }
 
     /// Accepts the call and answers it with these bytes; returns once the client has read them.
@@ -46,12 +47,12 @@
             let _ = call.read_to_end(&mut head);
         }
         call.write_all(bytes).expect("it is open");
-        self.hear(id);
+        self.wait_and_read(id);
         call
     }
 
     /// Waits for bytes from discovery, and has the client read them.
-    fn hear(&mut self, id: CallId) {
+    fn wait_and_read(&mut self, id: CallId) {
         while self.discovery.calls[&id].polled.is_quiet() {
             std::thread::yield_now();
         }
@@ -76,18 +77,18 @@
 /// after the wait of the call that follows. The client reopens the watch by itself within half a second of
 /// noticing the silence, each proxy at its own place in that time.
 #[test]
-fn silent_watch_is_opened_anew_each_proxy_at_its_turn() {
+fn silent_watches_are_reopened_spread_over_the_fleet() {
     let mut reopened = Vec::new();
     for at in [0.1, 0.5, 0.9] {
-        let mut play = Play::open(at, None);
-        let _silent = play.answer(HEAD);
-        assert_eq!(play.next().0, SILENCE);
-        assert!(play.news.is_empty(), "no failure is reported, and nothing waits for one");
-        let (at, due) = play.next();
+        let mut fixture = Fixture::open(at, None);
+        let _silent = fixture.answer(HEAD);
+        assert_eq!(fixture.next().0, SILENCE);
+        assert!(fixture.news.is_empty(), "no failure is reported, and nothing waits for one");
+        let (at, due) = fixture.next();
         assert_eq!(due, Due::Reopen);
         reopened.push(at - SILENCE);
-        play.answer(HEAD);
-        assert_eq!(play.discovery.calls.len(), 1, "one watch at a time");
+        fixture.answer(HEAD);
+        assert_eq!(fixture.discovery.calls.len(), 1, "one watch at a time");
     }
     assert_eq!(reopened, [50_000, 250_000, 450_000]);
 }
@@ -96,16 +97,16 @@
 /// nothing: a watch that never delivered anything gets the same time as one that did, and the next one is
 /// opened at the proxy's place in the order, never at once.
 #[test]
-fn watch_that_is_never_heard_is_opened_anew_at_its_turn_and_not_at_once() {
-    let mut play = Play::open(0.5, None);
+fn watch_without_an_answer_is_not_reopened_at_once() {
+    let mut fixture = Fixture::open(0.5, None);
     let mut opened = 0;
     for _ in 0..3 {
-        assert_eq!(play.next().0, opened + SILENCE);
-        assert!(play.discovery.calls.is_empty(), "no call before its place in the order");
-        assert!(play.news.is_empty(), "no failure is reported, and nothing waits for one");
-        assert_eq!(play.next(), (opened + SILENCE + 250_000, Due::Reopen));
-        assert_eq!(play.discovery.calls.len(), 1, "one watch at a time");
-        opened = play.turn.now;
+        assert_eq!(fixture.next().0, opened + SILENCE);
+        assert!(fixture.discovery.calls.is_empty(), "no call before its place in the order");
+        assert!(fixture.news.is_empty(), "no failure is reported, and nothing waits for one");
+        assert_eq!(fixture.next(), (opened + SILENCE + 250_000, Due::Reopen));
+        assert_eq!(fixture.discovery.calls.len(), 1, "one watch at a time");
+        opened = fixture.turn.now;
     }
 }
 
@@ -113,63 +114,63 @@
 /// what the agent has. After a refused, silent or ended watch the client calls again within a drain's grace
 /// period.
 #[test]
-fn pushed_list_is_watched_again_soon_whatever_ends_the_watch() {
-    let mut play = Play::open(0.5, Some(60_000));
-    let call = play.answer(HEAD);
-    assert_eq!((play.next().0, play.next()), (SILENCE, (SILENCE + 60_000, Due::Reopen)));
+fn pushed_list_is_watched_again_soon_after_any_end() {
+    let mut fixture = Fixture::open(0.5, Some(60_000));
+    let call = fixture.answer(HEAD);
+    assert_eq!((fixture.next().0, fixture.next()), (SILENCE, (SILENCE + 60_000, Due::Reopen)));
     drop(call);
-    let id = *play.discovery.calls.last_key_value().expect("a call").0;
-    drop(play.answer(HEAD));
-    while play.discovery.calls.contains_key(&id) {
-        play.discovery.ready(&mut play.turn, id, &mut play.news);
+    let id = *fixture.discovery.calls.last_key_value().expect("a call").0;
+    drop(fixture.answer(HEAD));
+    while fixture.discovery.calls.contains_key(&id) {
+        fixture.discovery.ready(&mut fixture.turn, id, &mut fixture.news);
     }
-    assert_eq!(play.next(), (SILENCE + 120_000, Due::Reopen));
-    assert!(play.news.is_empty(), "the decision library is not involved");
+    assert_eq!(fixture.next(), (SILENCE + 120_000, Due::Reopen));
+    assert!(fixture.news.is_empty(), "the decision library is not involved");
 }
 
 /// The proxy counts as informed of a change this long after discovery had it and could be reached, whatever
 /// failed.
-const COUNTS_AS_TOLD: Micros = 6_000_000;
+const INFORMED_WITHIN: Micros = 6_000_000;
 /// The same after SIGHUP.
-const COUNTS_AFTER_RELOAD: Micros = 4_000_000;
+const INFORMED_AFTER_RELOAD: Micros = 4_000_000;
 /// The part of that time reserved for the call that delivers the change.
-const CALL: Micros = 500_000;
+const CALL_TIME: Micros = 500_000;
 
 /// How one call fails.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     /// The call is accepted, and nothing is ever sent.
-    NeverHeard,
+    NeverAnswers,
     /// The watch is established, and falls silent.
     Silent,
     /// The watch is established, and sends a line that never ends.
-    Drips,
+    EndlessLine,
     /// The connection ends at once.
     Refused,
 }
 
 /// A proxy's discovery client, with the decision library that says when a failed call is repeated.
-struct Repeating {
-    play: Play,
+struct RetryFixture {
+    fixture: Fixture,
     decisions: Balancer,
     /// Connections that discovery holds open without sending anything.
-    open: Vec<TcpStream>,
+    held_open: Vec<TcpStream>,
 }
 
-impl Repeating {
-    fn open(turn: f64, seed: u64) -> Repeating {
+impl RetryFixture {
+    fn open(turn: f64, seed: u64) -> RetryFixture {
         let config = std::fs::read_to_string("../../examples/config.json").expect("the example");
         let config: Value = serde_json::from_str(&config).expect("JSON");
         let facts = leadmast::settings::read(&config["settings"]).expect("settings");
         assert!(facts.settings.list_on_request);
         let decisions = Balancer::new(facts.settings, seed, 0);
-        let mut repeating = Repeating { play: Play::open(turn, None), decisions, open: Vec::new() };
-        repeating.decide(Event::Timer { tag: TimerTag(0) });
-        repeating
+        let mut retry = RetryFixture { fixture: Fixture::open(turn, None), decisions, held_open: Vec::new() };
+        retry.decide(Event::Timer { tag: TimerTag(0) });
+        retry
     }
 
     fn decide(&mut self, event: Event) {
-        let Play { turn, discovery, news, .. } = &mut self.play;
+        let Fixture { turn, discovery, news, .. } = &mut self.fixture;
         let mut actions = Vec::new();
         self.decisions.handle(turn.now, event, &mut actions);
         for action in actions {
@@ -182,76 +183,76 @@
     }
 
     /// Reports each failure to the decision library.
-    fn tell_failures(&mut self) {
-        for news in std::mem::take(&mut self.play.news) {
+    fn report_failures(&mut self) {
+        for news in std::mem::take(&mut self.fixture.news) {
             assert_eq!(news.kind, ListKind::Failed);
             self.decide(Event::Members { kind: news.kind, entries: Vec::new() });
         }
     }
 
     fn latest_call(&self) -> Option<CallId> {
-        self.play.discovery.calls.last_key_value().map(|(id, _)| *id)
+        self.fixture.discovery.calls.last_key_value().map(|(id, _)| *id)
     }
 
     /// Makes the open call fail, and moves time until the next call is made.
-    fn suffer(&mut self, fault: Fault) {
+    fn fail_call(&mut self, fault: Fault) {
         let failed = self.latest_call();
         let call = match fault {
-            Fault::Silent => self.play.answer(HEAD),
-            Fault::NeverHeard => self.play.agent.accept().expect("a call").0,
-            Fault::Drips => self.drip(),
+            Fault::Silent => self.fixture.answer(HEAD),
+            Fault::NeverAnswers => self.fixture.agent.accept().expect("a call").0,
+            Fault::EndlessLine => self.send_endless_line(),
             Fault::Refused => self.refuse(),
         };
-        self.open.push(call);
-        self.tell_failures();
+        self.held_open.push(call);
+        self.report_failures();
         while self.latest_call() <= failed {
-            let at = self.play.turn.deadlines.next().expect("a deadline");
-            match self.play.turn.deadlines.pop(at).expect("it is due") {
+            let at = self.fixture.turn.deadlines.next().expect("a deadline");
+            match self.fixture.turn.deadlines.pop(at).expect("it is due") {
                 Due::Module(tag) => {
-                    self.play.turn.now = at;
+                    self.fixture.turn.now = at;
                     self.decide(Event::Timer { tag });
                 }
                 due => {
-                    self.play.turn.deadlines.set(at, due);
-                    self.play.next();
+                    self.fixture.turn.deadlines.set(at, due);
+                    self.fixture.next();
                 }
             }
-            self.tell_failures();
+            self.report_failures();
         }
     }
 
     /// Sends bytes of one line until just before the watch counts as silent.
-    fn drip(&mut self) -> TcpStream {
-        let mut call = self.play.answer(HEAD);
+    fn send_endless_line(&mut self) -> TcpStream {
+        let mut call = self.fixture.answer(HEAD);
         let id = self.latest_call().expect("a call");
-        let whole_by = self.play.discovery.calls[&id].due;
+        let whole_by = self.fixture.discovery.calls[&id].due;
         for _ in 0..3 {
-            self.play.turn.now += (whole_by - self.play.turn.now) / 2;
+            self.fixture.turn.now += (whole_by - self.fixture.turn.now) / 2;
             call.write_all(b"1\r\n{\r\n").expect("it is open");
-            self.play.hear(id);
+            self.fixture.wait_and_read(id);
         }
         call
     }
 
     fn refuse(&mut self) -> TcpStream {
         let id = self.latest_call().expect("a call");
-        let (call, _) = self.play.agent.accept().expect("a call");
+        let (call, _) = self.fixture.agent.accept().expect("a call");
         call.shutdown(std::net::Shutdown::Both).expect("it is open");
-        while self.play.discovery.calls.contains_key(&id) {
-            self.play.discovery.ready(&mut self.play.turn, id, &mut self.play.news);
+        while self.fixture.discovery.calls.contains_key(&id) {
+            self.fixture.discovery.ready(&mut self.fixture.turn, id, &mut self.fixture.news);
         }
         call
     }
 }
 
 /// The longest time until the call that follows these faults, over several proxies of a fleet and seeds.
-fn longest_until_heard(faults: &[Fault]) -> Micros {
+fn longest_until_call(faults: &[Fault]) -> Micros {
     let mut longest = 0;
     for turn in [0.5 / 300.0, 0.5, 299.5 / 300.0] {
         for seed in 0..20 {
-            let mut repeating = Repeating::open(turn, seed);
-            faults.iter().for_each(|fault| repeating.suffer(*fault));
-            longest = longest.max(repeating.play.turn.now);
+            let mut retry = RetryFixture::open(turn, seed);
+            faults.iter().for_each(|fault| retry.fail_call(*fault));
+            longest = longest.max(retry.fixture.turn.now);
         }
     }
     longest
@@ -262,10 +263,10 @@
 /// the call that delivers the change.
 #[test]
 fn change_is_asked_for_in_time_after_a_silent_watch_and_a_refused_call() {
-    let silent = [Fault::NeverHeard, Fault::Silent, Fault::Drips];
+    let silent = [Fault::NeverAnswers, Fault::Silent, Fault::EndlessLine];
     let chains = silent.into_iter().flat_map(|silent| [[silent, Fault::Refused], [Fault::Refused, silent]]);
-    let longest: Vec<_> = chains.map(|faults| (faults, longest_until_heard(&faults))).collect();
-    assert!(longest.iter().all(|(_, took)| *took <= COUNTS_AS_TOLD - CALL), "us: {longest:?}");
+    let longest: Vec<_> = chains.map(|faults| (faults, longest_until_call(&faults))).collect();
+    assert!(longest.iter().all(|(_, took)| *took <= INFORMED_WITHIN - CALL_TIME), "us: {longest:?}");
 }
 
 /// Guards the 4 s after SIGHUP, where the first watch at the new address is silent from the start.
@@ -273,16 +274,16 @@
 fn change_is_asked_for_in_time_after_a_silent_watch_at_a_new_address() {
     for turn in [0.5 / 300.0, 299.5 / 300.0] {
         for seed in 0..20 {
-            let mut repeating = Repeating::open(turn, seed);
-            repeating.open.push(repeating.play.answer(HEAD));
+            let mut retry = RetryFixture::open(turn, seed);
+            retry.held_open.push(retry.fixture.answer(HEAD));
             let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
             let addr = agent.local_addr().expect("an address");
-            let Play { turn, discovery, news, .. } = &mut repeating.play;
+            let Fixture { turn, discovery, news, .. } = &mut retry.fixture;
             discovery.move_to(turn, addr, SILENCE, news);
-            repeating.play.agent = agent;
-            repeating.suffer(Fault::NeverHeard);
-            let again = repeating.play.turn.now;
-            assert!(again <= COUNTS_AFTER_RELOAD - CALL, "{again} us");
+            retry.fixture.agent = agent;
+            retry.fail_call(Fault::NeverAnswers);
+            let again = retry.fixture.turn.now;
+            assert!(again <= INFORMED_AFTER_RELOAD - CALL_TIME, "{again} us");
         }
     }
 }
--- a/crates/gradeshunt/src/loop_stats/tests.rs
+++ b/crates/gradeshunt/src/loop_stats/tests.rs
@@ -5,7 +5,7 @@
 /// Guards the causes given for a long turn: the source that took most is named first, and lateness due to the
 /// previous turn is not counted.
 #[test]
-fn a_turn_is_told_by_its_parts() {
+fn turn_record_names_the_time_per_source() {
     let mut loop_stats = LoopStats::new(0);
     loop_stats.begin(1_000, Some(900));
     loop_stats.worked("client", 3_000);
@@ -32,7 +32,7 @@
 
 /// Guards a scrape just after a summary: the interval before it is still shown, the one before that is not.
 #[test]
-fn figures_are_of_late() {
+fn longest_covers_the_current_and_the_last_interval() {
     let mut longest = Longest::default();
     longest.add(7);
     longest.pass();
--- a/crates/gradeshunt/src/placing/tests.rs
+++ b/crates/gradeshunt/src/placing/tests.rs
@@ -30,7 +30,7 @@
 /// Guards the back-off of an unavailable proxy: it doubles, failures within it count once, and an answer ends
 /// it.
 #[test]
-fn unavailable_home_is_passed_over_for_longer_each_time() {
+fn unavailable_home_is_skipped_for_twice_as_long_each_time() {
     let mut placing = placing("a");
     let set = foreign_sets(&mut placing)[0];
     let first = home(&mut placing, 0, set, &[]);
@@ -48,7 +48,7 @@
 /// Guards the bound on the sets that go direct, from a proxy that is not their home: it holds, and a set
 /// stops going direct once a home answers.
 #[test]
-fn sets_go_direct_up_to_their_number_and_only_while_no_home_can_be_had() {
+fn sets_go_direct_up_to_a_limit_and_only_while_no_home_is_available() {
     let mut placing = placing("a");
     let sets = foreign_sets(&mut placing);
     let (one, other) = (sets[0], sets[1]);
--- a/crates/gradeshunt/src/position/tests.rs
+++ b/crates/gradeshunt/src/position/tests.rs
@@ -16,7 +16,7 @@
 }
 
 /// What a db host reports at `now` if it lags by `age`, with this clock offset.
-fn told(now: Micros, age: Micros, offset: Micros) -> f64 {
+fn reported(now: Micros, age: Micros, offset: Micros) -> f64 {
     (now - age + offset) as f64 / 1000.0
 }
 
@@ -32,28 +32,28 @@
     for step in [STEP, -STEP, 360 * STEP, -360 * STEP, 300_000, -300_000] {
         let (mut clock, offset) = clock();
         let mut reader = PositionReader::default();
-        assert_eq!(age(&mut reader, &mut clock, SECOND, told(SECOND, LAG, offset)), Some(LAG));
+        assert_eq!(age(&mut reader, &mut clock, SECOND, reported(SECOND, LAG, offset)), Some(LAG));
         clock.take_offset(offset + step, SECOND + 10_000);
         let now = SECOND + 100_000;
-        assert_eq!(age(&mut reader, &mut clock, now, told(now, LAG, offset + step)), Some(LAG), "{step}");
+        assert_eq!(age(&mut reader, &mut clock, now, reported(now, LAG, offset + step)), Some(LAG), "{step}");
         assert_eq!(clock.offset(), offset + step, "the step is confirmed");
     }
 }
 
 /// Guards against a standby that is stuck at a position which the clocks reach again after a step back.
 #[test]
-fn standby_that_stands_still_never_looks_current() {
+fn stuck_standby_never_looks_current() {
     let (mut clock, offset) = clock();
     let (mut frozen, mut primary) = (PositionReader::default(), PositionReader::default());
-    let stands_at = told(0, 0, offset);
-    frozen.read(&mut clock, LAG, stands_at, None);
-    primary.read(&mut clock, LAG, told(LAG, 0, offset), Some(true));
+    let stuck_at = reported(0, 0, offset);
+    frozen.read(&mut clock, LAG, stuck_at, None);
+    primary.read(&mut clock, LAG, reported(LAG, 0, offset), Some(true));
     clock.take_offset(offset - STEP, SECOND);
     for tenth in 11..300 {
         let now = tenth * SECOND / 10;
-        primary.read(&mut clock, now, told(now, 0, offset - STEP), Some(true));
+        primary.read(&mut clock, now, reported(now, 0, offset - STEP), Some(true));
         assert_eq!(clock.offset(), offset - STEP);
-        let read = age(&mut frozen, &mut clock, now, stands_at);
+        let read = age(&mut frozen, &mut clock, now, stuck_at);
         assert!(read.is_none_or(|age| age >= now), "{now}: {read:?}");
     }
 }
@@ -73,8 +73,8 @@
             if now == stepped {
                 clock.take_offset(offset + step, now);
             }
-            primary.read(&mut clock, now, told(now, 0, offset_of(now)), Some(true));
-            let read = age(&mut behind, &mut clock, now, told(now, far, offset_of(now - far)));
+            primary.read(&mut clock, now, reported(now, 0, offset_of(now)), Some(true));
+            let read = age(&mut behind, &mut clock, now, reported(now, far, offset_of(now - far)));
             // Never younger than its true age; after a step forward older until it has crossed the step.
             assert!(read.is_none_or(|age| age >= far), "{step}, {now}: {read:?}");
             if now - far > stepped + 2 * SECOND {
@@ -87,7 +87,7 @@
 /// Guards against a step of this machine's clock alone: no db host follows it, and once that is clear nothing
 /// has changed.
 #[test]
-fn step_of_this_machine_alone_passes() {
+fn step_of_this_machine_alone_is_ignored() {
     for step in [STEP, -STEP, 300_000, -300_000] {
         let (mut clock, offset) = clock();
         let (mut standby, mut primary) = (PositionReader::default(), PositionReader::default());
@@ -96,8 +96,8 @@
             if tenth == 10 {
                 clock.take_offset(offset + step, now);
             }
-            primary.read(&mut clock, now, told(now, 0, offset), Some(true));
-            let read = age(&mut standby, &mut clock, now, told(now, LAG, offset));
+            primary.read(&mut clock, now, reported(now, 0, offset), Some(true));
+            let read = age(&mut standby, &mut clock, now, reported(now, LAG, offset));
             assert_eq!(clock.offset(), offset, "{step}");
             assert!(read.is_none_or(|age| age >= LAG), "{step}, {now}: {read:?}");
             if !clock.is_in_doubt(now) {
@@ -109,15 +109,15 @@
 
 /// Guards a db host that first reports after a step, and one whose clock alone is ahead.
 #[test]
-fn position_from_the_future_is_none() {
+fn position_from_the_future_is_rejected() {
     let (mut clock, offset) = clock();
     let mut reader = PositionReader::default();
-    assert_eq!(reader.read(&mut clock, SECOND, told(SECOND, -2 * AHEAD, offset), None), None);
+    assert_eq!(reader.read(&mut clock, SECOND, reported(SECOND, -2 * AHEAD, offset), None), None);
     assert_eq!(reader.read(&mut clock, SECOND, f64::NAN, None), None);
     clock.take_offset(offset - STEP, SECOND);
     let mut primary = PositionReader::default();
-    primary.read(&mut clock, 2 * SECOND, told(2 * SECOND, 0, offset - STEP), Some(true));
+    primary.read(&mut clock, 2 * SECOND, reported(2 * SECOND, 0, offset - STEP), Some(true));
     let mut fresh = PositionReader::default();
     let now = 3 * SECOND;
-    assert_eq!(age(&mut fresh, &mut clock, now, told(now, LAG, offset - STEP)), Some(LAG));
+    assert_eq!(age(&mut fresh, &mut clock, now, reported(now, LAG, offset - STEP)), Some(LAG));
 }
--- a/crates/gradeshunt/src/proxy/tests.rs
+++ b/crates/gradeshunt/src/proxy/tests.rs
@@ -44,7 +44,7 @@
 /// Guards completed file work against a ping that fails: without the periodic check a reload would never take
 /// effect.
 #[test]
-fn file_work_is_taken_in_where_its_thread_cannot_wake_the_loop() {
+fn file_work_is_collected_when_its_thread_cannot_wake_the_loop() {
     let discovery = || TcpListener::bind("127.0.0.1:0").expect("a port");
     let (first, second) = (discovery(), discovery());
     let file = std::env::temp_dir().join(format!("gradeshunt-broken-waker-{}.json", std::process::id()));
--- a/crates/gradeshunt/src/start_offset/tests.rs
+++ b/crates/gradeshunt/src/start_offset/tests.rs
@@ -28,14 +28,14 @@
 
 /// Guards against a corrupt time from far in the future: primaries that agree lower the offset again.
 #[test]
-fn offset_is_lowered_to_the_most_that_several_agree_on() {
+fn offset_is_lowered_to_the_largest_that_several_agree_on() {
     let mut start = StartOffset::default();
-    let told = [(0, 0), (20_000, -3_000), (40_000, -150_000), (60_000, -1_000)];
-    for (at, late) in &told[..3] {
+    let reports = [(0, 0), (20_000, -3_000), (40_000, -150_000), (60_000, -1_000)];
+    for (at, late) in &reports[..3] {
         assert_eq!(start.hear_primary(HOUR, *at, at + late), None);
     }
     assert!(!start.is_shown(PATIENCE));
-    let (at, late) = told[3];
+    let (at, late) = reports[3];
     assert_eq!(start.hear_primary(HOUR, at, at + late), Some(0));
     assert!(start.is_shown(at));
     // All of these answers may have been slow: the next one that is not raises the offset.
