--- a/crates/gradeshunt/src/backend/hosts.rs
+++ b/crates/gradeshunt/src/backend/hosts.rs
@@ -187,16 +187,16 @@
     /// Takes note where a db host has told a position that can't be believed yet, and tells all of those once they can be: a process
     /// that has just started would ask again, and hold its first reads for that.
     pub(super) fn tell_unshown(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
-        if self.hosts.get(&member).is_some_and(|host| host.positions.holds_unshown()) {
+        if self.hosts.get(&member).is_some_and(|host| host.positions.has_held_back()) {
             self.unshown.push(member);
         }
         let now = turn.clock.now();
-        if self.unshown.is_empty() || !turn.clock.is_shown(now) {
+        if self.unshown.is_empty() || !turn.clock.is_offset_confirmed(now) {
             return;
         }
         for member in std::mem::take(&mut self.unshown) {
             let host = self.hosts.get_mut(&member);
-            let told = host.and_then(|host| host.positions.take_unshown(&turn.clock, now));
+            let told = host.and_then(|host| host.positions.take_held_back(&turn.clock, now));
             if let Some((position, at)) = told {
                 let report = Report { position: Some(position), primary: Some(false), ..Report::default() };
                 let elapsed = turn.now - at;
--- a/crates/gradeshunt/src/clock.rs
+++ b/crates/gradeshunt/src/clock.rs
@@ -19,13 +19,13 @@
 use crate::unix_time::{near, unix_micros, STEP_TOLERANCE};
 
 /// How far a db host's clock may be ahead.
-pub const AHEAD: Micros = 1_000_000;
+pub const MAX_AHEAD: Micros = 1_000_000;
 /// A reading of both clocks that takes longer than this is not accurate enough to use.
-const LONGEST_READING: Micros = 5_000;
+const MAX_READING_TIME: Micros = 5_000;
 /// How long an unconfirmed candidate makes positions count as the older of what the two offsets say.
-const CANDIDATE_DOUBT: Micros = 1_000_000;
+const CANDIDATE_WINDOW: Micros = 1_000_000;
 /// Offsets kept in the history: a time from before the oldest is converted with the oldest offset.
-const STEPS: usize = 16;
+const MAX_SEGMENTS: usize = 16;
 
 /// An offset between the wall clock and the monotonic clock, in force from `from` on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,8 +78,8 @@
     }
 
     /// Takes over a primary's report, at `at`, that its position is this Unix time.
-    pub fn hear_primary(&mut self, at: Micros, unix: Micros) {
-        let shown = self.start_offset.hear_primary(self.offset(), at, unix);
+    pub fn take_primary_time(&mut self, at: Micros, unix: Micros) {
+        let shown = self.start_offset.take_primary_time(self.offset(), at, unix);
         if let Some(offset) = shown {
             self.own_error += self.offset() - offset;
             self.segments = vec![Segment { from: Micros::MIN, offset }];
@@ -88,8 +88,8 @@
     }
 
     /// Whether the initial offset may be taken for the other machines' offset.
-    pub fn is_shown(&self, now: Micros) -> bool {
-        self.start_offset.is_shown(now)
+    pub fn is_offset_confirmed(&self, now: Micros) -> bool {
+        self.start_offset.is_confirmed(now)
     }
 
     /// Compares the wall clock with the monotonic clock; returns true if that shows a new step.
@@ -97,14 +97,14 @@
         let before = self.now();
         let unix = unix_now();
         let after = self.now();
-        if after - before > LONGEST_READING {
+        if after - before > MAX_READING_TIME {
             return false;
         }
-        self.take_offset(unix - (before + (after - before) / 2), after)
+        self.observe_offset(unix - (before + (after - before) / 2), after)
     }
 
     /// Takes over the offset that this machine's clocks show at `now`; returns true if it is a new candidate.
-    pub(crate) fn take_offset(&mut self, offset: Micros, now: Micros) -> bool {
+    pub(crate) fn observe_offset(&mut self, offset: Micros, now: Micros) -> bool {
         if near(offset, self.offset()) {
             (self.candidate, self.own_error) = (None, 0);
             return false;
@@ -142,14 +142,14 @@
     }
 
     /// Whether a candidate is so recent that the other machines' times may still follow it.
-    pub fn is_in_doubt(&self, now: Micros) -> bool {
-        self.candidate.is_some_and(|candidate| now - candidate.seen <= CANDIDATE_DOUBT)
+    pub fn is_candidate_recent(&self, now: Micros) -> bool {
+        self.candidate.is_some_and(|candidate| now - candidate.seen <= CANDIDATE_WINDOW)
     }
 
     /// Puts the candidate in force: a db host has reported a time that only the candidate explains.
-    pub fn confirm(&mut self) {
+    pub fn confirm_candidate(&mut self) {
         let Some(Candidate { seen, offset }) = self.candidate.take() else { return };
-        if self.segments.len() == STEPS {
+        if self.segments.len() == MAX_SEGMENTS {
             self.segments.remove(0);
         }
         self.segments.push(Segment { from: seen, offset });
--- a/crates/gradeshunt/src/clock/tests.rs
+++ b/crates/gradeshunt/src/clock/tests.rs
@@ -25,16 +25,18 @@
 #[test]
 fn step_is_a_candidate_until_it_is_confirmed() {
     let mut clock = clock(HOUR);
-    assert!(!clock.take_offset(HOUR + STEP_TOLERANCE, 1), "two readings differ a little");
-    assert!(clock.take_offset(0, 2));
-    assert!(!clock.take_offset(10, 3), "the step is known");
+    assert!(!clock.observe_offset(HOUR + STEP_TOLERANCE, 1), "two readings differ a little");
+    assert!(clock.observe_offset(0, 2));
+    assert!(!clock.observe_offset(10, 3), "the step is known");
     assert_eq!((clock.offset(), clock.candidate().map(|c| c.seen)), (HOUR, Some(2)));
-    assert!(clock.is_in_doubt(2 + CANDIDATE_DOUBT) && !clock.is_in_doubt(3 + CANDIDATE_DOUBT));
-    clock.confirm();
+    assert!(
+        clock.is_candidate_recent(2 + CANDIDATE_WINDOW) && !clock.is_candidate_recent(3 + CANDIDATE_WINDOW)
+    );
+    clock.confirm_candidate();
     assert_eq!((clock.offset(), clock.stepped_at(), clock.candidate()), (0, 2, None));
-    assert!(clock.take_offset(HOUR, 9));
+    assert!(clock.observe_offset(HOUR, 9));
     assert!(
-        !clock.take_offset(0, 10) && clock.candidate().is_none(),
+        !clock.observe_offset(0, 10) && clock.candidate().is_none(),
         "the clock is back at the offset in use"
     );
 }
@@ -46,8 +48,8 @@
     let mut clock = clock(HOUR);
     let now = clock.now();
     // All clocks were stepped forward by 10 s, 50 s ago.
-    clock.take_offset(HOUR + 10 * SECOND, now - 50 * SECOND);
-    clock.confirm();
+    clock.observe_offset(HOUR + 10 * SECOND, now - 50 * SECOND);
+    clock.confirm_candidate();
     let close = |unix: Micros, at: Micros| (clock.latest_at_unix_ms(ms(unix)) - at).abs() < SECOND / 10;
     let before = now - 60 * SECOND;
     assert!(close(HOUR + before, before), "a time from before the step");
@@ -66,12 +68,12 @@
 fn ambiguous_time_counts_as_its_latest_meaning() {
     let mut clock = clock(HOUR);
     let now = clock.now();
-    clock.take_offset(HOUR - 40 * SECOND, now - 5 * SECOND);
+    clock.observe_offset(HOUR - 40 * SECOND, now - 5 * SECOND);
     let start = HOUR - 40 * SECOND + now - SECOND;
     for _ in 0..2 {
         let at = clock.latest_at_unix_ms(ms(start));
         assert!((at - (now - SECOND)).abs() < SECOND / 10, "{at}");
-        clock.confirm();
+        clock.confirm_candidate();
     }
 }
 
@@ -83,13 +85,13 @@
     let mut clock = Clock::start();
     let wrong = clock.offset();
     let right = wrong + OFF;
-    clock.hear_primary(1_000, right + 1_000);
+    clock.take_primary_time(1_000, right + 1_000);
     assert_eq!(clock.offset(), right);
-    assert!(!clock.take_offset(wrong, 2_000) && clock.candidate().is_none());
+    assert!(!clock.observe_offset(wrong, 2_000) && clock.candidate().is_none());
     // A step of all clocks is seen in spite of the error.
-    assert!(clock.take_offset(wrong + 3 * OFF, 3_000));
+    assert!(clock.observe_offset(wrong + 3 * OFF, 3_000));
     assert_eq!(clock.candidate().map(|c| c.offset), Some(right + 3 * OFF));
     // The clock is corrected.
-    assert!(!clock.take_offset(right, 4_000) && clock.candidate().is_none());
-    assert!(clock.take_offset(wrong, 5_000));
+    assert!(!clock.observe_offset(right, 4_000) && clock.candidate().is_none());
+    assert!(clock.observe_offset(wrong, 5_000));
 }
--- a/crates/gradeshunt/src/cycle.rs
+++ b/crates/gradeshunt/src/cycle.rs
@@ -87,7 +87,7 @@
         }
         core.turn.now = core.turn.clock.now();
         core.loop_stats.begin(core.turn.now, until);
-        core.turn.unread = core.loop_stats.unread();
+        core.turn.unread = core.loop_stats.time_unread();
         let again = std::mem::take(&mut core.turn.again);
         again.into_iter().chain(self.ready.drain(..)).collect()
     }
@@ -122,7 +122,7 @@
 /// with the time of the turn's beginning, requests at its end would tell their db hosts what it has taken as time left.
 fn worked(core: &mut Core, name: &'static str) {
     let now = core.turn.clock.now();
-    core.loop_stats.worked(name, now);
+    core.loop_stats.record_source(name, now);
     core.turn.unread += now - core.turn.now;
     core.turn.now = now;
 }
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -142,7 +142,7 @@
         self.numbers.retain(|_, m| !gone.contains(m) && listed.as_ref().is_none_or(|all| all.contains(m)));
         let numbers: HashSet<_> = self.numbers.values().copied().collect();
         self.starts.retain(|member, _| numbers.contains(member));
-        if !clock.is_shown(clock.now()) {
+        if !clock.is_offset_confirmed(clock.now()) {
             let started = news.entries.iter().filter(|e| e.since.is_some());
             self.unconfirmed.extend(started.map(|e| (e.member, e.clone())));
         }
@@ -154,7 +154,7 @@
     /// Returns the entries whose start times were read with a clock offset that primaries have corrected
     /// since. Otherwise a db host that has just started would count as warm.
     pub fn corrected_starts(&mut self, clock: &Clock) -> Option<News> {
-        if self.unconfirmed.is_empty() || !clock.is_shown(clock.now()) {
+        if self.unconfirmed.is_empty() || !clock.is_offset_confirmed(clock.now()) {
             return None;
         }
         let mut news = News::new(ListKind::Incremental);
--- a/crates/gradeshunt/src/discovery/list/tests.rs
+++ b/crates/gradeshunt/src/discovery/list/tests.rs
@@ -114,14 +114,14 @@
     };
     let started = unix_ms(&clock) - 30_000;
     let first = since(&clock, started);
-    clock.take_offset(clock.offset() - HOUR_MS * 1000, clock.now());
+    clock.observe_offset(clock.offset() - HOUR_MS * 1000, clock.now());
     assert_eq!(since(&clock, started), first, "the step is not confirmed yet");
     let restarted = unix_ms(&clock) - HOUR_MS;
     assert!(
         since(&clock, restarted) >= first + 29_000_000,
         "the candidate offset counts where it gives a later start"
     );
-    clock.confirm();
+    clock.confirm_candidate();
     assert!(since(&clock, restarted + 1) >= clock.now() - 1_000_000);
 }
 
@@ -144,7 +144,7 @@
     // Four answers of primaries, 10 ms apart, show that all other machines' clocks are 30 s behind.
     for answer in 1..=4 {
         let at = answer * 10_000;
-        clock.hear_primary(at, at + offset - AHEAD_MS * 1000);
+        clock.take_primary_time(at, at + offset - AHEAD_MS * 1000);
     }
     let news = reader.corrected_starts(&clock).expect("a start to correct");
     assert_eq!((news.kind, news.entries.len()), (ListKind::Incremental, 1));
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -43,7 +43,7 @@
             placing.counts.direct += 1;
             return self.serve_here(turn, arrival);
         }
-        let bucket = placing::bucket(arrival.group, arrival.key, id.0);
+        let bucket = placing::session_bucket(arrival.group, arrival.key, id.0);
         self.decide(turn, id, Forward { arrival, bucket, tried: Vec::new() });
     }
 
@@ -77,7 +77,8 @@
         }
         // A home that answers others is waited for. Of one that may be silent, what may be repeated leaves time for the next.
         let half = turn.now + (r.deadline - turn.now) / 2;
-        let heard = self.placing.as_ref().is_some_and(|placing| placing.is_heard(turn.now, peer));
+        let heard =
+            self.placing.as_ref().is_some_and(|placing| placing.has_answered_recently(turn.now, peer));
         let until = if !heard && self.may_repeat(turn.now, id, half) { half.min(last) } else { last };
         forward.tried.push(peer);
         let number = FIRST_FORWARD + forward.tried.len() as u32;
@@ -174,11 +175,11 @@
                 Said::Answer(_) | Said::Verdict(_) | Said::Error(_) | Said::Refused { .. } | Said::Unclear,
                 _,
             ) => {
-                placing.answered(turn.now, out.member, group);
+                placing.record_answer(turn.now, out.member, group);
             }
             (Said::Nothing, Ending::Moot | Ending::Cancelled | Ending::Ok | Ending::Error) => {}
             (Said::Leaving, _) | (Said::Nothing, _) => {
-                if placing.failed(turn.now, out.member) {
+                if placing.record_failure(turn.now, out.member) {
                     let name = placing.name(out.member).map(str::to_owned);
                     warn!(turn.log, "home proxy is unavailable"; "ending" => endings::name(ending), "name" => name);
                     self.leave_peer(turn.now, out.member);
--- a/crates/gradeshunt/src/loop_stats.rs
+++ b/crates/gradeshunt/src/loop_stats.rs
@@ -11,9 +11,9 @@
 use crate::proc_stats::{ProcStats, Sample};
 
 /// A turn that takes longer is logged.
-const SLOW: Micros = 50_000;
+const SLOW_TURN: Micros = 50_000;
 /// Shorter times of waiting to be read count as zero.
-const BRIEF: Micros = 5_000;
+const MIN_UNREAD: Micros = 5_000;
 /// Greatest age of the sample that a long turn is compared with, as long as turns are short.
 const SAMPLE_AGE: Micros = 50_000;
 
@@ -32,11 +32,11 @@
         self.ever = self.ever.max(took);
     }
 
-    fn of_late(&self) -> Micros {
+    fn recent(&self) -> Micros {
         self.now.max(self.before)
     }
 
-    fn pass(&mut self) {
+    fn start_interval(&mut self) {
         self.before = std::mem::take(&mut self.now);
     }
 }
@@ -60,12 +60,12 @@
     last: Micros,
     late: Micros,
     /// How long the previous turn took.
-    former: Micros,
+    previous_took: Micros,
     spent: BTreeMap<&'static str, (Micros, u32)>,
     turns: u64,
-    slow: u64,
-    longest: Longest,
-    latest: Longest,
+    slow_turns: u64,
+    longest_turn: Longest,
+    latest_wake: Longest,
     by_source: BTreeMap<&'static str, Longest>,
 }
 
@@ -78,12 +78,12 @@
             start: now,
             last: now,
             late: 0,
-            former: 0,
+            previous_took: 0,
             spent: BTreeMap::new(),
             turns: 0,
-            slow: 0,
-            longest: Longest::default(),
-            latest: Longest::default(),
+            slow_turns: 0,
+            longest_turn: Longest::default(),
+            latest_wake: Longest::default(),
             by_source: BTreeMap::new(),
         }
     }
@@ -92,7 +92,7 @@
     pub fn begin(&mut self, now: Micros, until: Option<Micros>) {
         // What fell due during the previous turn is that turn's lateness.
         self.late = until.map_or(0, |at| (now - at.max(self.last)).max(0));
-        self.former = self.last - self.start;
+        self.previous_took = self.last - self.start;
         (self.start, self.last) = (now, now);
         if now - self.sampled.0 > SAMPLE_AGE {
             self.sampled = (now, self.proc_stats.sample());
@@ -101,12 +101,12 @@
 
     /// Returns how long the data read in this turn may have waited unread: it arrived at any time since the
     /// previous turn began its work, or since the loop should have woken. Short times count as zero.
-    pub fn unread(&self) -> Micros {
-        Some(self.late.max(self.former)).filter(|t| *t > BRIEF).unwrap_or(0)
+    pub fn time_unread(&self) -> Micros {
+        Some(self.late.max(self.previous_took)).filter(|t| *t > MIN_UNREAD).unwrap_or(0)
     }
 
     /// Records that an event of this source, or a deadline, has been handled.
-    pub fn worked(&mut self, name: &'static str, now: Micros) {
+    pub fn record_source(&mut self, name: &'static str, now: Micros) {
         let (took, times) = self.spent.entry(name).or_default();
         *took += now - self.last;
         *times += 1;
@@ -116,7 +116,7 @@
     /// Ends the turn, and logs it if it was long or late.
     pub fn end(&mut self, log: &Logger) {
         let turn = self.record_turn();
-        if turn.took <= SLOW && turn.late <= SLOW {
+        if turn.took <= SLOW_TURN && turn.late <= SLOW_TURN {
             return;
         }
         let now = self.proc_stats.sample();
@@ -124,7 +124,7 @@
         self.sampled = (self.last, now);
         let parts: Vec<_> =
             turn.parts.iter().map(|(name, took, n)| format!("{name}={}ms/{n}", took / 1000)).collect();
-        let what = if turn.took > SLOW { "a turn took long" } else { "the loop woke late" };
+        let what = if turn.took > SLOW_TURN { "a turn took long" } else { "the loop woke late" };
         warn!(log, "{}", what; "ms" => turn.took / 1000, "late_ms" => turn.late / 1000, "spent" => parts.join(","),
             "cpu_ms" => since.ran / 1000, "without_cpu_ms" => since.waited / 1000, "major_faults" => since.major_faults,
             "stolen_ms" => since.stolen / 1000);
@@ -139,20 +139,20 @@
             self.by_source.entry(name).or_default().add(*took);
         }
         self.turns += 1;
-        self.slow += u64::from(took > SLOW);
-        self.longest.add(took);
-        self.latest.add(self.late);
+        self.slow_turns += u64::from(took > SLOW_TURN);
+        self.longest_turn.add(took);
+        self.latest_wake.add(self.late);
         TurnRecord { took, late: self.late, parts }
     }
 
     /// Logs a summary, and begins a new interval.
     pub fn log_summary(&mut self, log: &Logger) {
         let worst = self.by_source.iter().max_by_key(|(_, l)| l.now);
-        info!(log, "loop"; "turns" => self.turns, "longest_us" => self.longest.now, "latest_us" => self.latest.now,
+        info!(log, "loop"; "turns" => self.turns, "longest_us" => self.longest_turn.now, "latest_us" => self.latest_wake.now,
             "most_by" => worst.map(|(name, _)| *name), "most_by_us" => worst.map(|(_, l)| l.now));
-        self.longest.pass();
-        self.latest.pass();
-        self.by_source.values_mut().for_each(Longest::pass);
+        self.longest_turn.start_interval();
+        self.latest_wake.start_interval();
+        self.by_source.values_mut().for_each(Longest::start_interval);
     }
 
     /// Returns the statistics as text: times in microseconds, the longest of the last 10 to 20 s and since
@@ -160,14 +160,14 @@
     pub fn exposition(&self) -> String {
         let mut text = format!(
             "# TYPE app_loop_turns counter\napp_loop_turns {}\n# TYPE app_loop_slow_turns counter\napp_loop_slow_turns {}\n",
-            self.turns, self.slow
+            self.turns, self.slow_turns
         );
         let mut gauge = |name: &str, label: &str, l: &Longest| {
-            let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"late\"}} {}", l.of_late());
+            let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"late\"}} {}", l.recent());
             let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"ever\"}} {}", l.ever);
         };
-        gauge("longest_turn", "", &self.longest);
-        gauge("latest_wake", "", &self.latest);
+        gauge("longest_turn", "", &self.longest_turn);
+        gauge("latest_wake", "", &self.latest_wake);
         for (name, longest) in &self.by_source {
             gauge("longest_source", &format!("source=\"{name}\","), longest);
         }
--- a/crates/gradeshunt/src/loop_stats/tests.rs
+++ b/crates/gradeshunt/src/loop_stats/tests.rs
@@ -8,9 +8,9 @@
 fn turn_record_names_the_time_per_source() {
     let mut loop_stats = LoopStats::new(0);
     loop_stats.begin(1_000, Some(900));
-    loop_stats.worked("client", 3_000);
-    loop_stats.worked("db host", 63_000);
-    loop_stats.worked("client", 64_000);
+    loop_stats.record_source("client", 3_000);
+    loop_stats.record_source("db host", 63_000);
+    loop_stats.record_source("client", 64_000);
     let turn = loop_stats.record_turn();
     assert_eq!((turn.took, turn.late), (63_000, 100));
     assert_eq!(turn.parts, [("db host", 60_000, 1), ("client", 3_000, 2)]);
@@ -20,12 +20,12 @@
         500,
         "the previous turn was long; the poll was late by only this much"
     );
-    assert_eq!(loop_stats.unread(), 63_000, "what is read now may have arrived when that turn began");
+    assert_eq!(loop_stats.time_unread(), 63_000, "what is read now may have arrived when that turn began");
     loop_stats.begin(70_000, Some(69_000));
-    assert_eq!(loop_stats.unread(), 0);
+    assert_eq!(loop_stats.time_unread(), 0);
     loop_stats.begin(90_000, Some(80_000));
-    assert_eq!(loop_stats.unread(), 10_000);
-    assert_eq!((loop_stats.turns, loop_stats.slow, loop_stats.longest.ever), (2, 1, 63_000));
+    assert_eq!(loop_stats.time_unread(), 10_000);
+    assert_eq!((loop_stats.turns, loop_stats.slow_turns, loop_stats.longest_turn.ever), (2, 1, 63_000));
     let text = loop_stats.exposition();
     assert!(text.contains("app_loop_longest_source_us{source=\"db host\",span=\"late\"} 60000\n"), "{text}");
 }
@@ -35,9 +35,9 @@
 fn longest_covers_the_current_and_the_last_interval() {
     let mut longest = Longest::default();
     longest.add(7);
-    longest.pass();
+    longest.start_interval();
     longest.add(3);
-    assert_eq!((longest.of_late(), longest.ever), (7, 7));
-    longest.pass();
-    assert_eq!((longest.of_late(), longest.ever), (3, 7));
+    assert_eq!((longest.recent(), longest.ever), (7, 7));
+    longest.start_interval();
+    assert_eq!((longest.recent(), longest.ever), (3, 7));
 }
--- a/crates/gradeshunt/src/placing.rs
+++ b/crates/gradeshunt/src/placing.rs
@@ -14,7 +14,7 @@
 const FIRST_PEER: u32 = 1 << 31;
 /// An unavailable proxy is tried again after the connect time-out, and then after twice as long each time, up
 /// to this many times as long.
-const LONGEST_BACKOFF: i64 = 32;
+const MAX_BACKOFF_FACTOR: i64 = 32;
 
 /// Whether a member is a proxy rather than a db host.
 pub fn is_peer(member: MemberId) -> bool {
@@ -47,11 +47,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Health {
     /// When it last answered, if it ever has.
-    heard: Option<Micros>,
+    last_answer: Option<Micros>,
     /// Failures since its last answer.
     failures: u32,
     /// Time until which it is not tried.
-    until: Micros,
+    retry_at: Micros,
 }
 
 /// How requests were placed since the start.
@@ -96,7 +96,7 @@
             divisor_in_force: None,
             counts: Counts::default(),
         };
-        placing.number_all();
+        placing.assign_numbers();
         placing
     }
 
@@ -104,10 +104,10 @@
     pub fn replace(&mut self, placement: Placement) {
         self.direct = DirectSets::new(placement.settings().direct_sets);
         self.placement = placement;
-        self.number_all();
+        self.assign_numbers();
     }
 
-    fn number_all(&mut self) {
+    fn assign_numbers(&mut self) {
         for proxy in self.placement.proxies() {
             let next = MemberId(FIRST_PEER + self.numbers.len() as u32);
             self.numbers.entry(proxy.name.clone()).or_insert(next);
@@ -183,27 +183,27 @@
     }
 
     fn is_available(&self, now: Micros, peer: MemberId) -> bool {
-        self.health.get(&peer).is_none_or(|health| health.until <= now)
+        self.health.get(&peer).is_none_or(|health| health.retry_at <= now)
     }
 
     /// Whether a proxy has answered something within the connect time-out, which shows that it serves even if
     /// one request takes long.
-    pub fn is_heard(&self, now: Micros, peer: MemberId) -> bool {
-        let heard = self.health.get(&peer).and_then(|health| health.heard);
-        heard.is_some_and(|at| now - at < self.connect_timeout)
+    pub fn has_answered_recently(&self, now: Micros, peer: MemberId) -> bool {
+        let last_answer = self.health.get(&peer).and_then(|health| health.last_answer);
+        last_answer.is_some_and(|at| now - at < self.connect_timeout)
     }
 
     /// Records that a proxy could not be reached or has fallen silent. Returns true if it was available until
     /// now.
-    pub fn failed(&mut self, now: Micros, peer: MemberId) -> bool {
+    pub fn record_failure(&mut self, now: Micros, peer: MemberId) -> bool {
         let health = self.health.entry(peer).or_default();
         // Requests that were under way together fail together and count as one failure.
-        if health.until > now {
+        if health.retry_at > now {
             return false;
         }
-        let backoff = (1_i64 << health.failures.min(16)).min(LONGEST_BACKOFF);
+        let backoff = (1_i64 << health.failures.min(16)).min(MAX_BACKOFF_FACTOR);
         health.failures += 1;
-        health.until = now + self.connect_timeout * backoff;
+        health.retry_at = now + self.connect_timeout * backoff;
         true
     }
 
@@ -213,8 +213,8 @@
     }
 
     /// Records that a proxy has answered a request of this set.
-    pub fn answered(&mut self, now: Micros, peer: MemberId, group: GroupId) {
-        self.health.insert(peer, Health { heard: Some(now), ..Health::default() });
+    pub fn record_answer(&mut self, now: Micros, peer: MemberId, group: GroupId) {
+        self.health.insert(peer, Health { last_answer: Some(now), ..Health::default() });
         self.direct.end(group.0);
     }
 
@@ -298,7 +298,7 @@
 
 /// Returns the session bucket of a request: that of its session's key, or of the request's number if it has
 /// none.
-pub fn bucket(group: GroupId, key: Option<u64>, request: u64) -> Bucket {
+pub fn session_bucket(group: GroupId, key: Option<u64>, request: u64) -> Bucket {
     let key = key.unwrap_or(request);
     let hash = leadmast::settings::fnv(&format!("{} {key}", group.0));
     Bucket::new((hash % u64::from(BUCKETS)) as u16)
--- a/crates/gradeshunt/src/placing/tests.rs
+++ b/crates/gradeshunt/src/placing/tests.rs
@@ -34,15 +34,15 @@
     let mut placing = placing("a");
     let set = foreign_sets(&mut placing)[0];
     let first = home(&mut placing, 0, set, &[]);
-    assert!(placing.failed(0, first));
-    assert!(!placing.failed(999, first), "requests under way together count as one failure");
+    assert!(placing.record_failure(0, first));
+    assert!(!placing.record_failure(999, first), "requests under way together count as one failure");
     assert_ne!(home(&mut placing, 999, set, &[]), first);
     assert_eq!(home(&mut placing, 1_000, set, &[]), first);
-    assert!(placing.failed(1_000, first));
+    assert!(placing.record_failure(1_000, first));
     assert_ne!(home(&mut placing, 2_999, set, &[]), first);
-    placing.answered(2_999, first, set);
+    placing.record_answer(2_999, first, set);
     assert_eq!(home(&mut placing, 2_999, set, &[]), first);
-    assert!(placing.is_heard(3_998, first) && !placing.is_heard(3_999, first));
+    assert!(placing.has_answered_recently(3_998, first) && !placing.has_answered_recently(3_999, first));
 }
 
 /// Guards the bound on the sets that go direct, from a proxy that is not their home: it holds, and a set
@@ -58,7 +58,7 @@
     assert_eq!(placing.decide(0, one, Bucket::new(0), &all), Decision::Here);
     assert_eq!(placing.decide(0, one, Bucket::new(0), &all), Decision::Here, "the set goes direct already");
     assert_eq!(placing.decide(0, other, Bucket::new(0), &all), Decision::Refuse);
-    placing.answered(0, first, one);
+    placing.record_answer(0, first, one);
     assert_eq!(
         placing.decide(0, other, Bucket::new(0), &all),
         Decision::Here,
--- a/crates/gradeshunt/src/position.rs
+++ b/crates/gradeshunt/src/position.rs
@@ -7,35 +7,35 @@
 
 use leadmast::Micros;
 
-use crate::clock::{Candidate, Clock, AHEAD};
+use crate::clock::{Candidate, Clock, MAX_AHEAD};
 use crate::unix_time::{near, unix_micros, STEP_TOLERANCE};
 
 /// A db host's positions advance with real time if they move by at least and at most this share of the time
 /// that has passed.
-const PACE: (f64, f64) = (0.75, 1.25);
+const PACE_BOUNDS: (f64, f64) = (0.75, 1.25);
 /// Two positions closer together than this are too close to measure a pace.
-const SHORTEST_PACE: Micros = 20_000;
+const MIN_PACE_SPAN: Micros = 20_000;
 
 /// A position as a db host reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Told {
+struct Report {
     /// The position, as Unix time.
-    unix: Micros,
+    unix_time: Micros,
     /// When the report arrived, on the proxy's clock.
-    at: Micros,
+    arrived: Micros,
 }
 
-impl Told {
+impl Report {
     /// Age of the position at its arrival, given this clock offset.
     fn age(self, offset: Micros) -> Micros {
-        self.at - (self.unix - offset)
+        self.arrived - (self.unix_time - offset)
     }
 
     /// Whether the position has advanced since `earlier` at the pace of real time.
-    fn keeps_pace_since(self, earlier: Told) -> bool {
-        let (moved, passed) = (self.unix - earlier.unix, self.at - earlier.at);
+    fn keeps_pace_since(self, earlier: Report) -> bool {
+        let (moved, passed) = (self.unix_time - earlier.unix_time, self.arrived - earlier.arrived);
         let pace = moved as f64 / passed.max(1) as f64;
-        passed >= SHORTEST_PACE && (PACE.0..=PACE.1).contains(&pace)
+        passed >= MIN_PACE_SPAN && (PACE_BOUNDS.0..=PACE_BOUNDS.1).contains(&pace)
     }
 }
 
@@ -45,11 +45,11 @@
     /// The offset between Unix time and the proxy's clock that this db host's positions have; `None` before
     /// the first one.
     offset: Option<Micros>,
-    latest: Option<Told>,
+    latest: Option<Report>,
     /// The last report before the latest step.
-    before_step: Option<Told>,
+    before_step: Option<Report>,
     /// The last report from before primaries had shown the initial clock offset.
-    unshown: Option<Told>,
+    held_back: Option<Report>,
 }
 
 impl PositionReader {
@@ -60,53 +60,53 @@
         if !ms.is_finite() {
             return None;
         }
-        let told = Told { unix: unix_micros(ms), at: now };
+        let report = Report { unix_time: unix_micros(ms), arrived: now };
         if primary == Some(true) {
-            clock.hear_primary(now, told.unix);
+            clock.take_primary_time(now, report.unix_time);
         }
         // To a process that has started with its clock behind, a replica that lags would look current.
-        if primary != Some(true) && !clock.is_shown(now) {
-            self.unshown = Some(told);
+        if primary != Some(true) && !clock.is_offset_confirmed(now) {
+            self.held_back = Some(report);
             return None;
         }
-        self.unshown = None;
-        let offset = self.follow(clock, told, primary);
-        self.offset = clock.is_shown(now).then_some(offset);
-        self.before_step = self.before(clock.stepped_at());
-        self.latest = Some(told);
-        let position = told.unix - offset;
-        let position = match clock.candidate().filter(|_| clock.is_in_doubt(now)) {
-            Some(candidate) => position.min(told.unix - candidate.offset),
+        self.held_back = None;
+        let offset = self.choose_offset(clock, report, primary);
+        self.offset = clock.is_offset_confirmed(now).then_some(offset);
+        self.before_step = self.last_before(clock.stepped_at());
+        self.latest = Some(report);
+        let position = report.unix_time - offset;
+        let position = match clock.candidate().filter(|_| clock.is_candidate_recent(now)) {
+            Some(candidate) => position.min(report.unix_time - candidate.offset),
             None => position,
         };
-        (position <= now + AHEAD).then_some(position)
+        (position <= now + MAX_AHEAD).then_some(position)
     }
 
     /// Whether a position is held back because it could not be believed when it arrived.
-    pub fn holds_unshown(&self) -> bool {
-        self.unshown.is_some()
+    pub fn has_held_back(&self) -> bool {
+        self.held_back.is_some()
     }
 
     /// Returns the position that was held back, and when it arrived, once it can be believed.
-    pub fn take_unshown(&mut self, clock: &Clock, now: Micros) -> Option<(Micros, Micros)> {
-        let told = self.unshown.take_if(|_| clock.is_shown(now))?;
-        let position = told.unix - clock.offset();
-        (position <= told.at + AHEAD).then_some((position, told.at))
+    pub fn take_held_back(&mut self, clock: &Clock, now: Micros) -> Option<(Micros, Micros)> {
+        let report = self.held_back.take_if(|_| clock.is_offset_confirmed(now))?;
+        let position = report.unix_time - clock.offset();
+        (position <= report.arrived + MAX_AHEAD).then_some((position, report.arrived))
     }
 
     /// Returns the clock offset to read this position with: the previous one, unless the report proves the
     /// candidate that this machine's clock shows, or shows that this db host has crossed a step that other db
     /// hosts have confirmed.
-    fn follow(&self, clock: &mut Clock, told: Told, primary: Option<bool>) -> Micros {
+    fn choose_offset(&self, clock: &mut Clock, report: Report, primary: Option<bool>) -> Micros {
         let offset = self.offset.unwrap_or(clock.offset());
         if let Some(Candidate { offset: candidate, .. }) = clock.candidate() {
-            if !near(candidate, offset) && self.proves(offset, candidate, told, primary) {
-                clock.confirm();
+            if !near(candidate, offset) && self.proves(offset, candidate, report, primary) {
+                clock.confirm_candidate();
                 return candidate;
             }
         }
         let (confirmed, step) = (clock.offset(), clock.stepped_at());
-        let crossed = !near(confirmed, offset) && self.has_crossed(step, offset, confirmed, told, primary);
+        let crossed = !near(confirmed, offset) && self.has_crossed(step, offset, confirmed, report, primary);
         if crossed {
             confirmed
         } else {
@@ -115,38 +115,46 @@
     }
 
     /// Whether only the offset `to` explains the report, whatever other db hosts report.
-    fn proves(&self, from: Micros, to: Micros, told: Told, primary: Option<bool>) -> bool {
-        let (age_before, age_after) = (told.age(from), told.age(to));
+    fn proves(&self, from: Micros, to: Micros, report: Report, primary: Option<bool>) -> bool {
+        let (age_before, age_after) = (report.age(from), report.age(to));
         if age_after < -STEP_TOLERANCE {
             return false;
         }
         let from_the_future = age_before < -STEP_TOLERANCE;
         // Positions only advance: one that falls back by as much as the clock did has crossed the step.
-        let fell_back = from > to && self.latest.is_some_and(|l| (l.unix - told.unix) * 2 >= from - to);
+        let fell_back =
+            from > to && self.latest.is_some_and(|l| (l.unix_time - report.unix_time) * 2 >= from - to);
         // A primary does not lag.
         let primary_is_current = primary == Some(true) && age_after < age_before.abs();
         from_the_future || fell_back || primary_is_current
     }
 
     /// Whether this db host's positions are from after a step that others have confirmed.
-    fn has_crossed(&self, step: Micros, from: Micros, to: Micros, told: Told, primary: Option<bool>) -> bool {
-        if told.age(to) < -STEP_TOLERANCE {
+    fn has_crossed(
+        &self,
+        step: Micros,
+        from: Micros,
+        to: Micros,
+        report: Report,
+        primary: Option<bool>,
+    ) -> bool {
+        if report.age(to) < -STEP_TOLERANCE {
             return false;
         }
         // After a step forward, a wrong yes can only make the position look older than it is.
-        if to > from || self.proves(from, to, told, primary) {
+        if to > from || self.proves(from, to, report, primary) {
             return true;
         }
         // After a step back, a db host that is stuck at a position from before it would look current once the
         // clock reaches that position again. One that was recent before and advances at the pace of real time
         // has crossed the step.
-        let was_recent = self.before(step).is_none_or(|before| before.age(from) < (from - to) / 2);
-        was_recent && self.latest.is_some_and(|latest| told.keeps_pace_since(latest))
+        let was_recent = self.last_before(step).is_none_or(|before| before.age(from) < (from - to) / 2);
+        was_recent && self.latest.is_some_and(|latest| report.keeps_pace_since(latest))
     }
 
     /// Returns the last report before a step.
-    fn before(&self, step: Micros) -> Option<Told> {
-        self.latest.filter(|latest| latest.at < step).or(self.before_step)
+    fn last_before(&self, step: Micros) -> Option<Report> {
+        self.latest.filter(|latest| latest.arrived < step).or(self.before_step)
     }
 }
 
--- a/crates/gradeshunt/src/position/tests.rs
+++ b/crates/gradeshunt/src/position/tests.rs
@@ -11,7 +11,7 @@
 fn clock() -> (Clock, Micros) {
     let mut clock = Clock::start();
     let offset = clock.offset();
-    clock.hear_primary(0, offset);
+    clock.take_primary_time(0, offset);
     (clock, offset)
 }
 
@@ -33,7 +33,7 @@
         let (mut clock, offset) = clock();
         let mut reader = PositionReader::default();
         assert_eq!(age(&mut reader, &mut clock, SECOND, reported(SECOND, LAG, offset)), Some(LAG));
-        clock.take_offset(offset + step, SECOND + 10_000);
+        clock.observe_offset(offset + step, SECOND + 10_000);
         let now = SECOND + 100_000;
         assert_eq!(age(&mut reader, &mut clock, now, reported(now, LAG, offset + step)), Some(LAG), "{step}");
         assert_eq!(clock.offset(), offset + step, "the step is confirmed");
@@ -48,7 +48,7 @@
     let stuck_at = reported(0, 0, offset);
     frozen.read(&mut clock, LAG, stuck_at, None);
     primary.read(&mut clock, LAG, reported(LAG, 0, offset), Some(true));
-    clock.take_offset(offset - STEP, SECOND);
+    clock.observe_offset(offset - STEP, SECOND);
     for tenth in 11..300 {
         let now = tenth * SECOND / 10;
         primary.read(&mut clock, now, reported(now, 0, offset - STEP), Some(true));
@@ -71,7 +71,7 @@
             let now = tenth * SECOND / 10;
             let offset_of = |at: Micros| if at < stepped { offset } else { offset + step };
             if now == stepped {
-                clock.take_offset(offset + step, now);
+                clock.observe_offset(offset + step, now);
             }
             primary.read(&mut clock, now, reported(now, 0, offset_of(now)), Some(true));
             let read = age(&mut behind, &mut clock, now, reported(now, far, offset_of(now - far)));
@@ -94,13 +94,13 @@
         for tenth in 0..40 {
             let now = tenth * SECOND / 10;
             if tenth == 10 {
-                clock.take_offset(offset + step, now);
+                clock.observe_offset(offset + step, now);
             }
             primary.read(&mut clock, now, reported(now, 0, offset), Some(true));
             let read = age(&mut standby, &mut clock, now, reported(now, LAG, offset));
             assert_eq!(clock.offset(), offset, "{step}");
             assert!(read.is_none_or(|age| age >= LAG), "{step}, {now}: {read:?}");
-            if !clock.is_in_doubt(now) {
+            if !clock.is_candidate_recent(now) {
                 assert_eq!(read, Some(LAG), "{step}, {now}");
             }
         }
@@ -112,9 +112,9 @@
 fn position_from_the_future_is_rejected() {
     let (mut clock, offset) = clock();
     let mut reader = PositionReader::default();
-    assert_eq!(reader.read(&mut clock, SECOND, reported(SECOND, -2 * AHEAD, offset), None), None);
+    assert_eq!(reader.read(&mut clock, SECOND, reported(SECOND, -2 * MAX_AHEAD, offset), None), None);
     assert_eq!(reader.read(&mut clock, SECOND, f64::NAN, None), None);
-    clock.take_offset(offset - STEP, SECOND);
+    clock.observe_offset(offset - STEP, SECOND);
     let mut primary = PositionReader::default();
     primary.read(&mut clock, 2 * SECOND, reported(2 * SECOND, 0, offset - STEP), Some(true));
     let mut fresh = PositionReader::default();
