--- a/crates/gradeshunt/src/accept_failure.rs
+++ b/crates/gradeshunt/src/accept_failure.rs
@@ -8,20 +8,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
     /// No connection is waiting.
-    NoneWaits,
+    NoneWaiting,
     /// The waiting connection has broken; the next one may be sound.
-    ThatConnection,
+    BrokenConnection,
     /// This process has no descriptor left: one of its own connections must be closed.
-    Descriptors,
+    OutOfDescriptors,
     /// The system lacks another resource, or refuses for another reason: closing connections would not help.
     System,
 }
 
 impl AcceptFailure {
     /// Classifies an error of accept(2).
-    pub fn of(e: &io::Error) -> AcceptFailure {
+    pub fn from_error(e: &io::Error) -> AcceptFailure {
         match Errno::from_io_error(e) {
-            Some(Errno::AGAIN) => AcceptFailure::NoneWaits,
+            Some(Errno::AGAIN) => AcceptFailure::NoneWaiting,
             Some(
                 Errno::INTR
                 | Errno::CONNABORTED
@@ -34,8 +34,8 @@
                 | Errno::OPNOTSUPP
                 | Errno::NETUNREACH
                 | Errno::TIMEDOUT,
-            ) => AcceptFailure::ThatConnection,
-            Some(Errno::MFILE) => AcceptFailure::Descriptors,
+            ) => AcceptFailure::BrokenConnection,
+            Some(Errno::MFILE) => AcceptFailure::OutOfDescriptors,
             _ => AcceptFailure::System,
         }
     }
--- a/crates/gradeshunt/src/backend/reply.rs
+++ b/crates/gradeshunt/src/backend/reply.rs
@@ -3,7 +3,7 @@
 use leadmast::{Ending, Micros};
 
 use crate::exchange::Form;
-use crate::memory::Held;
+use crate::memory::BufferBytes;
 use crate::pg::{self, sqlstate, Malformed, Writer};
 
 /// A reply as far as it has come. Each job begins with a fresh one: nothing of an earlier reply stays.
@@ -12,7 +12,7 @@
     /// What it has to be.
     pub(super) form: Form,
     pub(super) bytes: Vec<u8>,
-    pub(super) held: Held,
+    pub(super) held: BufferBytes,
     pub(super) shape: Shape,
     /// When bytes of a long answer were last passed on; it has begun then.
     pub(super) passed: Option<Micros>,
--- a/crates/gradeshunt/src/cli.rs
+++ b/crates/gradeshunt/src/cli.rs
@@ -10,7 +10,7 @@
 use crate::routing::{rules, Origin};
 
 /// Memory in which `classify` caches shapes, in bytes.
-const SHAPES: usize = 16 << 20;
+const SHAPE_CACHE_BYTES: usize = 16 << 20;
 
 /// A proxy for replicated PostgreSQL.
 #[derive(Debug, Parser)]
@@ -86,9 +86,9 @@
     }
 }
 
-fn show(told: &Told, class: Option<&str>, format: ClassFormat) -> String {
-    let verdict = &*told.verdict;
-    let shape = told.shape.map(|s| s.to_string());
+fn format_verdict(classified: &Told, class: Option<&str>, format: ClassFormat) -> String {
+    let verdict = &*classified.verdict;
+    let shape = classified.shape.map(|s| s.to_string());
     let (access, target) = (verdict.access.name(), target(verdict.access));
     match format {
         ClassFormat::Json => {
@@ -116,16 +116,16 @@
 ) -> Result<(), String> {
     let (declared, routes) = rules.map_or_else(|| Ok(Default::default()), |file| rules::outline(&file))?;
     // A fixed key gives a shape the same number in every call: it needs no secrecy here.
-    let mut classer = Classer::new(Key(0, 0), Catalogue::new(&declared), SHAPES);
+    let mut classer = Classer::new(Key(0, 0), Catalogue::new(&declared), SHAPE_CACHE_BYTES);
     let mut out = BufWriter::new(io::stdout().lock());
-    let mut tell = |statement: &str| {
-        let told = classer.class(statement);
-        let sent = matches!(told.verdict.access, Access::Read | Access::Write | Access::Unknown);
-        let route = routes.iter().find(|(m, _)| sent && m.holds(&Origin::default(), &told.verdict));
-        let line = show(&told, route.map(|(_, class)| class.as_str()), format);
+    let mut print = |statement: &str| {
+        let classified = classer.class(statement);
+        let sent = matches!(classified.verdict.access, Access::Read | Access::Write | Access::Unknown);
+        let route = routes.iter().find(|(m, _)| sent && m.holds(&Origin::default(), &classified.verdict));
+        let line = format_verdict(&classified, route.map(|(_, class)| class.as_str()), format);
         writeln!(out, "{line}")
     };
-    let mut told = Ok(());
+    let mut written = Ok(());
     if sql.is_empty() {
         let mut input = io::stdin().lock();
         let mut bytes = Vec::new();
@@ -139,14 +139,14 @@
             let end = if bytes.last() == Some(&separator) { bytes.len() - 1 } else { bytes.len() };
             // Input that is not UTF-8 can't be a statement; it still gets a line of output, so that output
             // and input lines match.
-            told = told.and_then(|()| tell(std::str::from_utf8(&bytes[..end]).unwrap_or("\0")));
+            written = written.and_then(|()| print(std::str::from_utf8(&bytes[..end]).unwrap_or("\0")));
         }
     } else {
-        told = sql.iter().try_for_each(|s| tell(s));
+        written = sql.iter().try_for_each(|s| print(s));
     }
-    match told.and_then(|()| out.flush()) {
+    match written.and_then(|()| out.flush()) {
         // The reader has closed the pipe.
         Err(e) if e.kind() == io::ErrorKind::BrokenPipe => Ok(()),
-        told => told.map_err(|e| format!("cannot write standard output: {e}")),
+        written => written.map_err(|e| format!("cannot write standard output: {e}")),
     }
 }
--- a/crates/gradeshunt/src/config.rs
+++ b/crates/gradeshunt/src/config.rs
@@ -16,7 +16,7 @@
 
 /// Default silence. An idle watch delivers a line every 2 s: one that is silent for longer has broken, even
 /// if its connection is open.
-const SILENCE: Micros = 3_000_000;
+const DEFAULT_SILENCE: Micros = 3_000_000;
 
 /// The configuration that the proxy starts with.
 pub struct Config {
@@ -35,11 +35,11 @@
     /// File descriptors that the proxy may use.
     pub sockets: usize,
     /// Memory that the proxy may use, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// How long discovery may be silent before a call to it counts as broken.
     pub silence: Micros,
     /// The list of db hosts that this proxy last had, in discovery's format; null if there is none.
-    pub known: Value,
+    pub known_list: Value,
     /// The settings, as read by the decision library.
     pub facts: Facts,
     /// Routes of plain statements, if operators give a file for them.
@@ -173,9 +173,9 @@
             control,
             seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed is not hex: {seed:?}"))?,
             sockets: usize::try_from(sockets).unwrap_or(usize::MAX),
-            memory: usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(1 << 20),
-            silence: silence.transpose()?.unwrap_or(SILENCE),
-            known: value.get("known").cloned().unwrap_or(Value::Null),
+            memory_bytes: usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(1 << 20),
+            silence: silence.transpose()?.unwrap_or(DEFAULT_SILENCE),
+            known_list: value.get("known").cloned().unwrap_or(Value::Null),
             facts,
             rules,
             sites,
--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -11,7 +11,7 @@
 
 use crate::accept_failure::AcceptFailure;
 use crate::deadlines::Due;
-use crate::figures::{Count, Figures};
+use crate::figures::{Figures, OutcomeCounts};
 use crate::ids::CallerId;
 use crate::ring::{Moved, Ring};
 use crate::turn::{self, Polled, Source, Turn};
@@ -128,10 +128,10 @@
                         warn!(turn.log, "cannot serve an operator's connection"; "error" => e.to_string());
                     }
                 }
-                Err(e) => match AcceptFailure::of(&e) {
-                    AcceptFailure::NoneWaits => return,
-                    AcceptFailure::ThatConnection => {}
-                    AcceptFailure::Descriptors | AcceptFailure::System => {
+                Err(e) => match AcceptFailure::from_error(&e) {
+                    AcceptFailure::NoneWaiting => return,
+                    AcceptFailure::BrokenConnection => {}
+                    AcceptFailure::OutOfDescriptors | AcceptFailure::System => {
                         warn!(turn.log, "cannot accept an operator's connection"; "error" => e.to_string());
                         turn.deadlines.set(turn.now + ACCEPT_RETRY, Due::AcceptCallers);
                         return;
@@ -281,7 +281,7 @@
 
 /// The figures as text: a line each, by class where a class has its own.
 pub fn exposition(figures: &Figures, classes: &[String], tenants: &[String]) -> String {
-    let statuses = |c: &Count| [("success", c.served), ("overload", c.refused), ("error", c.failed)];
+    let statuses = |c: &OutcomeCounts| [("success", c.served), ("overload", c.refused), ("error", c.failed)];
     let mut text = String::from("# TYPE app_replies counter\n");
     for (class, count) in classes.iter().zip(&figures.classes) {
         for (status, n) in statuses(count) {
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -10,7 +10,7 @@
 use crate::backend::Listed;
 use crate::config::Config;
 use crate::deadlines::Due;
-use crate::discovery::{self, Discovery, News};
+use crate::discovery::{self, Discovery, ListUpdate};
 use crate::exchange::{Answer, Exchange, Order};
 use crate::loop_stats::LoopStats;
 use crate::placing::Placing;
@@ -23,8 +23,8 @@
     pub(crate) discovery: Discovery,
     pub(crate) loop_stats: LoopStats,
     /// The list of db hosts from the configuration, until the proxy begins.
-    known: Option<News>,
-    news: Vec<News>,
+    known: Option<ListUpdate>,
+    news: Vec<ListUpdate>,
 }
 
 /// What is left for the parts that have sockets.
@@ -75,7 +75,7 @@
         let facts = &config.facts;
         let pace = discovery::WatchPolicy::new(&facts.settings);
         let mut discovery = Discovery::new(config.discovery, config.silence, facts.names.clone(), pace);
-        let known = std::mem::take(&mut config.known);
+        let known = std::mem::take(&mut config.known_list);
         let known = if known.is_null() { None } else { Some(discovery.read_known(&turn.clock, &known)?) };
         let tenants = config.tenants();
         let connect_timeout = facts.connections.connect_timeout;
@@ -142,8 +142,8 @@
     }
 
     /// Tells the module of a list.
-    fn tell(&mut self, news: News) -> List {
-        let News { kind, entries, listed, unreadable, why } = news;
+    fn tell(&mut self, news: ListUpdate) -> List {
+        let ListUpdate { kind, entries, listed, unreadable, why } = news;
         for what in &why {
             warn!(self.turn.log, "unreadable entry in the list of db hosts"; "what" => what, "of" => unreadable);
         }
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -22,7 +22,7 @@
 const MAX_ZONES: usize = 64;
 
 /// A list or an update of it, or the failure to get one.
-pub struct News {
+pub struct ListUpdate {
     pub kind: ListKind,
     pub entries: Vec<Entry>,
     pub listed: Vec<Listed>,
@@ -31,10 +31,10 @@
     pub why: Vec<String>,
 }
 
-impl News {
+impl ListUpdate {
     /// Creates an empty list of this kind.
     pub fn new(kind: ListKind) -> Self {
-        News { kind, entries: Vec::new(), listed: Vec::new(), unreadable: 0, why: Vec::new() }
+        ListUpdate { kind, entries: Vec::new(), listed: Vec::new(), unreadable: 0, why: Vec::new() }
     }
 }
 
@@ -89,7 +89,12 @@
     }
 
     /// Reads one line of a watch; returns `None` for an empty one.
-    pub fn read_line(&mut self, clock: &Clock, line: &[u8], after: u64) -> Result<Option<News>, String> {
+    pub fn read_line(
+        &mut self,
+        clock: &Clock,
+        line: &[u8],
+        after: u64,
+    ) -> Result<Option<ListUpdate>, String> {
         let text = std::str::from_utf8(line).map_err(|e| format!("a list that is not UTF-8: {e}"))?;
         if text.trim().is_empty() {
             return Ok(None);
@@ -101,7 +106,7 @@
     /// parsed as a whole is rejected. A list is also ignored if another call has delivered a later version
     /// since, because it would undo what is known, drains included. A version from before the call's `after`
     /// is accepted: discovery has restarted its numbering.
-    pub fn read_list(&mut self, clock: &Clock, text: &str, after: u64) -> Result<News, String> {
+    pub fn read_list(&mut self, clock: &Clock, text: &str, after: u64) -> Result<ListUpdate, String> {
         let bad = |e: serde_json::Error| format!("a list that is not JSON: {e}");
         let fields: BTreeMap<String, &RawValue> = serde_json::from_str(text).map_err(bad)?;
         let field = |name| fields.get(name).and_then(|raw| serde_json::from_str::<Value>(raw.get()).ok());
@@ -111,10 +116,10 @@
             serde_json::from_str(list.get()).map_err(|_| "a list whose instances are not an array")?;
         let versions = ListVersions { asked_after: after, known: self.generation, told: generation };
         if may_apply_list(versions).is_err() {
-            return Ok(News::new(ListKind::Incremental));
+            return Ok(ListUpdate::new(ListKind::Incremental));
         }
         let full = field("reset").is_some_and(|v| v == true);
-        let mut news = News::new(if full { ListKind::Full } else { ListKind::Incremental });
+        let mut news = ListUpdate::new(if full { ListKind::Full } else { ListKind::Incremental });
         for raw in list {
             // One malformed entry must not hide a drain among the others.
             let entry =
@@ -153,11 +158,11 @@
 
     /// Returns the entries whose start times were read with a clock offset that primaries have corrected
     /// since. Otherwise a db host that has just started would count as warm.
-    pub fn corrected_starts(&mut self, clock: &Clock) -> Option<News> {
+    pub fn corrected_starts(&mut self, clock: &Clock) -> Option<ListUpdate> {
         if self.unconfirmed.is_empty() || !clock.is_offset_confirmed(clock.now()) {
             return None;
         }
-        let mut news = News::new(ListKind::Incremental);
+        let mut news = ListUpdate::new(ListKind::Incremental);
         for (member, mut entry) in std::mem::take(&mut self.unconfirmed) {
             let Some(start) = self.starts.get_mut(&member) else { continue };
             let at = clock.latest_at_unix_ms(start.unix_ms);
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -13,7 +13,7 @@
 use slog::{info, warn};
 
 use self::answer::Answer;
-pub use self::list::News;
+pub use self::list::ListUpdate;
 use self::list::Reader;
 use crate::clock::Clock;
 use crate::deadlines::Due;
@@ -94,12 +94,12 @@
 
     /// Opens the first watch. The decision library asks for nothing before its first event, and a process
     /// without a list has none: it turns requests away.
-    pub fn start(&mut self, turn: &mut Turn, news: &mut Vec<News>) {
+    pub fn start(&mut self, turn: &mut Turn, news: &mut Vec<ListUpdate>) {
         self.ask(turn, Ask::Watch, news);
     }
 
     /// Reopens the watch if that is due.
-    pub fn reopen_due(&mut self, turn: &mut Turn, news: &mut Vec<News>) {
+    pub fn reopen_due(&mut self, turn: &mut Turn, news: &mut Vec<ListUpdate>) {
         if self.reopen_at.take_if(|at| *at <= turn.now).is_some() {
             self.ask(turn, Ask::Watch, news);
         }
@@ -114,14 +114,14 @@
     }
 
     /// Reads the list in the configuration, which may be outdated.
-    pub fn read_known(&mut self, clock: &Clock, known: &Value) -> Result<News, String> {
+    pub fn read_known(&mut self, clock: &Clock, known: &Value) -> Result<ListUpdate, String> {
         let news = self.reader.read_list(clock, &known.to_string(), 0)?;
-        Ok(News { kind: ListKind::Saved, ..news })
+        Ok(ListUpdate { kind: ListKind::Saved, ..news })
     }
 
     /// Returns db hosts whose start times were read wrongly before primaries had shown the clock offset.
     /// Returns `None` before the first list from discovery: what the configuration lists is no news.
-    pub fn corrected_starts(&mut self, clock: &Clock) -> Option<News> {
+    pub fn corrected_starts(&mut self, clock: &Clock) -> Option<ListUpdate> {
         if !self.has_list {
             return None;
         }
@@ -139,7 +139,7 @@
     }
 
     /// Opens a watch or fetches the list; a failure is reported in `news`.
-    pub fn ask(&mut self, turn: &mut Turn, ask: Ask, news: &mut Vec<News>) {
+    pub fn ask(&mut self, turn: &mut Turn, ask: Ask, news: &mut Vec<ListUpdate>) {
         // One watch at a time: a second would only repeat the first.
         if ask == Ask::Watch && self.calls.values().any(|c| c.ask == Ask::Watch && !c.is_former) {
             return;
@@ -152,16 +152,22 @@
 
     /// Handles a call that failed. Where the list is pushed, a watch is reopened; otherwise the decision
     /// library says when to ask.
-    fn handle_failure(&mut self, turn: &mut Turn, ask: Ask, kind: ListKind, news: &mut Vec<News>) {
+    fn handle_failure(&mut self, turn: &mut Turn, ask: Ask, kind: ListKind, news: &mut Vec<ListUpdate>) {
         match self.policy.pushed {
             Some(wait) if ask == Ask::Watch => self.reopen_in(turn, wait),
-            _ => news.push(News::new(kind)),
+            _ => news.push(ListUpdate::new(kind)),
         }
     }
 
     /// Moves to another address of discovery. The current watch is read until the new one has delivered the
     /// list, so that no drain is missed between the two.
-    pub fn move_to(&mut self, turn: &mut Turn, addr: SocketAddr, silence: Micros, news: &mut Vec<News>) {
+    pub fn move_to(
+        &mut self,
+        turn: &mut Turn,
+        addr: SocketAddr,
+        silence: Micros,
+        news: &mut Vec<ListUpdate>,
+    ) {
         self.silence = silence;
         if std::mem::replace(&mut self.addr, addr) == addr {
             return;
@@ -194,7 +200,7 @@
         Ok(())
     }
 
-    pub fn call_due(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) {
+    pub fn call_due(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<ListUpdate>) {
         let Some(call) = self.calls.get(&id).filter(|c| c.due <= turn.now) else { return };
         // Discovery may be available even if this watch never delivered anything. Another watch is opened
         // before the time runs out after which its news counts as known.
@@ -207,7 +213,7 @@
         self.fail(turn, id, "silent for too long", news);
     }
 
-    pub fn ready(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) {
+    pub fn ready(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<ListUpdate>) {
         for _ in 0..MAX_READS {
             let Some(call) = self.calls.get_mut(&id) else { return };
             let moved =
@@ -252,7 +258,7 @@
     }
 
     /// Takes the received part of an answer, which may be split anywhere.
-    fn read_answer(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) -> Result<(), String> {
+    fn read_answer(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<ListUpdate>) -> Result<(), String> {
         let Some(call) = self.calls.get_mut(&id) else { return Ok(()) };
         let completed = call.answer.take(&mut call.inbound)?;
         if call.ask == Ask::Watch {
@@ -269,11 +275,18 @@
     }
 
     /// Ends a call that discovery has refused, ended, or left silent for too long.
-    fn fail(&mut self, turn: &mut Turn, id: CallId, why: &str, news: &mut Vec<News>) {
+    fn fail(&mut self, turn: &mut Turn, id: CallId, why: &str, news: &mut Vec<ListUpdate>) {
         self.fail_as(turn, id, why, ListKind::Failed, news);
     }
 
-    fn fail_as(&mut self, turn: &mut Turn, id: CallId, why: &str, kind: ListKind, news: &mut Vec<News>) {
+    fn fail_as(
+        &mut self,
+        turn: &mut Turn,
+        id: CallId,
+        why: &str,
+        kind: ListKind,
+        news: &mut Vec<ListUpdate>,
+    ) {
         let Some(call) = self.calls.get(&id) else { return };
         let (former, ask) = (call.is_former, call.ask);
         self.end(turn, id);
--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -17,7 +17,7 @@
     turn: Turn,
     discovery: Discovery,
     agent: TcpListener,
-    news: Vec<News>,
+    news: Vec<ListUpdate>,
     _poll: EventLoop<'static, Ready>,
 }
 
--- a/crates/gradeshunt/src/exchange/decisions.rs
+++ b/crates/gradeshunt/src/exchange/decisions.rs
@@ -116,7 +116,7 @@
     /// An attempt has ended: the module is told.
     pub(super) fn outcome(&mut self, turn: &mut Turn, outcome: Outcome) {
         *self.tally.endings.entry(name(outcome.ending)).or_default() += 1;
-        site_loss::see(&mut self.sites, turn.now, outcome.member, outcome.ending, outcome.elapsed);
+        site_loss::record_ending(&mut self.sites, turn.now, outcome.member, outcome.ending, outcome.elapsed);
         self.tell(turn, Event::Outcome(outcome));
     }
 }
--- a/crates/gradeshunt/src/exchange/messages.rs
+++ b/crates/gradeshunt/src/exchange/messages.rs
@@ -8,7 +8,7 @@
 
 use super::trace::AttemptTrace;
 use crate::ids::AttemptId;
-use crate::memory::Held;
+use crate::memory::BufferBytes;
 
 /// How much of a long answer may be under way to a client.
 pub const ROOM: usize = 64 * 1024;
@@ -30,12 +30,12 @@
     pub(super) wait_at: Option<Range<usize>>,
     /// What is to come of it.
     pub form: Form,
-    held: Held,
+    held: BufferBytes,
 }
 
 impl Body {
     pub fn new(bytes: Vec<u8>, wait_at: Option<Range<usize>>, form: Form) -> Self {
-        let mut held = Held::default();
+        let mut held = BufferBytes::default();
         held.set(bytes.len());
         Body { bytes, wait_at, form, held }
     }
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -102,7 +102,7 @@
 
     /// A probe has ended.
     pub fn probed(&mut self, turn: &mut Turn, probed: Probed) {
-        site_loss::see(&mut self.sites, turn.now, probed.member, probed.ending, probed.elapsed);
+        site_loss::record_ending(&mut self.sites, turn.now, probed.member, probed.ending, probed.elapsed);
         self.tell(turn, Event::Probed(probed));
     }
 }
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -9,7 +9,7 @@
 use super::messages::{Answer, Ask, Order};
 use super::request::Request;
 use super::tally::Tally;
-use crate::figures::{Count, Figures, TenantCount};
+use crate::figures::{Figures, OutcomeCounts, TenantCount};
 use crate::placing::Placing;
 use crate::site_loss;
 
@@ -50,7 +50,7 @@
         Exchange {
             tenants,
             figures: Figures {
-                classes: vec![Count::default(); settings.classes.len()],
+                classes: vec![OutcomeCounts::default(); settings.classes.len()],
                 tenants: vec![TenantCount::default(); settings.tenants.len() + 1],
                 ..Figures::default()
             },
@@ -66,7 +66,7 @@
             placing: None,
             hop: settings.tick,
             effects: settings.classes.iter().map(|c| c.effect).collect(),
-            retry_after: settings.classes.iter().map(|c| site_loss::back(&settings, c)).collect(),
+            retry_after: settings.classes.iter().map(|c| site_loss::retry_after(&settings, c)).collect(),
             balancer: Balancer::new(settings, seed, now),
             requests: BTreeMap::new(),
             next: 0,
--- a/crates/gradeshunt/src/exchange/summary.rs
+++ b/crates/gradeshunt/src/exchange/summary.rs
@@ -3,7 +3,7 @@
 use slog::info;
 
 use super::state::Exchange;
-use crate::figures::{Count, Figures};
+use crate::figures::{Figures, OutcomeCounts};
 use crate::turn::Turn;
 
 impl Exchange {
@@ -26,7 +26,8 @@
             "expired_unsent" => t.expired_unsent,
             "attempts" => endings.join(","));
         for (name, t) in self.tenants.iter().zip(&self.figures.tenants) {
-            let text = |c: &Count| format!("served={},refused={},failed={}", c.served, c.refused, c.failed);
+            let text =
+                |c: &OutcomeCounts| format!("served={},refused={},failed={}", c.served, c.refused, c.failed);
             info!(turn.log, "tenant"; "beyond" => text(&t.beyond), "within" => text(&t.within), "name" => name);
         }
     }
--- a/crates/gradeshunt/src/exchange/tally.rs
+++ b/crates/gradeshunt/src/exchange/tally.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use crate::figures::Count;
+use crate::figures::OutcomeCounts;
 
 /// What has come to pass since the last summary in the log.
 #[derive(Default)]
 pub(super) struct Tally {
     pub(super) requests: u32,
-    pub(super) finals: Count,
+    pub(super) finals: OutcomeCounts,
     pub(super) gone: u32,
     pub(super) gone_unsent: u32,
     pub(super) sent_after_gone: u32,
--- a/crates/gradeshunt/src/figures.rs
+++ b/crates/gradeshunt/src/figures.rs
@@ -6,7 +6,7 @@
 
 /// Requests by outcome: those of one class since the start, or all since the last summary.
 #[derive(Clone, Copy, Default)]
-pub struct Count {
+pub struct OutcomeCounts {
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
@@ -15,15 +15,15 @@
 /// Requests of one tenant by outcome since the start, within and beyond its share.
 #[derive(Clone, Copy, Default)]
 pub struct TenantCount {
-    pub within: Count,
+    pub within: OutcomeCounts,
     /// Requests beyond the tenant's share.
-    pub beyond: Count,
+    pub beyond: OutcomeCounts,
 }
 
 /// Metrics for operators: counters since the start, and current values.
 #[derive(Clone, Default)]
 pub struct Figures {
-    pub classes: Vec<Count>,
+    pub classes: Vec<OutcomeCounts>,
     /// By tenant in the order of the settings; if there are any, a last entry for requests without a tenant's
     /// name.
     pub tenants: Vec<TenantCount>,
--- a/crates/gradeshunt/src/frontend/listener.rs
+++ b/crates/gradeshunt/src/frontend/listener.rs
@@ -82,16 +82,16 @@
                         warn!(turn.log, "cannot serve a connection"; "error" => e.to_string());
                     }
                 }
-                Err(e) => match AcceptFailure::of(&e) {
-                    AcceptFailure::NoneWaits => {
+                Err(e) => match AcceptFailure::from_error(&e) {
+                    AcceptFailure::NoneWaiting => {
                         self.backlog_since[backlog] = None;
                         return Backlog::Empty;
                     }
-                    AcceptFailure::ThatConnection => {}
+                    AcceptFailure::BrokenConnection => {}
                     failure => {
                         // The listener stays readable, so it is tried again only after a pause.
                         warn!(turn.log, "cannot accept connections"; "error" => e.to_string());
-                        if failure == AcceptFailure::Descriptors {
+                        if failure == AcceptFailure::OutOfDescriptors {
                             self.evict_one(turn);
                         }
                         // What waits has waited since now, for all that is known.
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -114,8 +114,8 @@
                 Ok(Moved::Some(_)) => {
                     // Better one long request turned away than the process killed for memory.
                     let waiting = matches!(s.stage, Stage::Waiting(_));
-                    if s.inbound.len() > SMALL && !waiting && memory::held() > self.most_memory {
-                        warn!(turn.log, "too much in buffers, turning a client away"; "bytes" => memory::held());
+                    if s.inbound.len() > SMALL && !waiting && memory::total_buffered() > self.most_memory {
+                        warn!(turn.log, "too much in buffers, turning a client away"; "bytes" => memory::total_buffered());
                         let w = Writer::default();
                         let error = w.error("FATAL", sqlstate::TOO_MANY_CONNECTIONS, "out of memory", None);
                         return self.close_with(turn, id, error, CloseReason::Memory);
--- a/crates/gradeshunt/src/logging.rs
+++ b/crates/gradeshunt/src/logging.rs
@@ -9,9 +9,9 @@
 use crate::cli::{LogFormat, LogLevel};
 
 /// Lines that may wait to be written.
-const LINES: usize = 4096;
+const QUEUED_LINES: usize = 4096;
 /// The tag of a process's last line.
-pub const LAST: &str = "last";
+pub const LAST_LINE: &str = "last";
 
 /// The log and the thread that writes it.
 pub struct Log {
@@ -34,11 +34,11 @@
                 let plain = slog_term::PlainDecorator::new(stderr);
                 let format = slog_term::FullFormat::new(plain).use_utc_timestamp().build().ignore_res();
                 let lines = LastLine { lines: format, written };
-                slog_async::Async::new(lines).chan_size(LINES).build_with_guard()
+                slog_async::Async::new(lines).chan_size(QUEUED_LINES).build_with_guard()
             }
             LogFormat::Json => {
                 let lines = LastLine { lines: slog_json::Json::default(stderr).ignore_res(), written };
-                slog_async::Async::new(lines).chan_size(LINES).build_with_guard()
+                slog_async::Async::new(lines).chan_size(QUEUED_LINES).build_with_guard()
             }
         };
         let most = match level {
@@ -71,7 +71,7 @@
 
     fn log(&self, record: &Record, values: &OwnedKVList) -> Result<D::Ok, D::Err> {
         let done = self.lines.log(record, values);
-        if record.tag() == LAST {
+        if record.tag() == LAST_LINE {
             let _ = self.written.try_send(());
         }
         done
--- a/crates/gradeshunt/src/memory.rs
+++ b/crates/gradeshunt/src/memory.rs
@@ -7,22 +7,22 @@
 }
 
 /// Returns the bytes that all buffers hold.
-pub fn held() -> usize {
+pub fn total_buffered() -> usize {
     HELD.get()
 }
 
 /// Bytes that one buffer holds; they count until it is dropped.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Held(usize);
+pub struct BufferBytes(usize);
 
-impl Held {
+impl BufferBytes {
     pub fn set(&mut self, bytes: usize) {
         HELD.set(HELD.get() - self.0 + bytes);
         self.0 = bytes;
     }
 }
 
-impl Drop for Held {
+impl Drop for BufferBytes {
     fn drop(&mut self) {
         self.set(0);
     }
--- a/crates/gradeshunt/src/placement_command.rs
+++ b/crates/gradeshunt/src/placement_command.rs
@@ -22,14 +22,14 @@
 ///
 /// # Errors
 /// If the file can't be read or describes no valid placement, or standard output can't be written.
-pub fn place(options: &Options) -> Result<(), String> {
+pub fn print_groups(options: &Options) -> Result<(), String> {
     let file = options.file.display().to_string();
     let text =
         std::fs::read_to_string(&options.file).map_err(|error| format!("cannot read {file}: {error}"))?;
     let fleet = Fleet::parse(&file, &text).map_err(|error| error.to_string())?;
-    let told: String =
+    let output: String =
         fleet.groups().iter().map(|group| table(&fleet, group, options.host_connections)).collect();
-    match std::io::stdout().write_all(told.as_bytes()) {
+    match std::io::stdout().write_all(output.as_bytes()) {
         // The reader has closed the pipe.
         Err(error) if error.kind() != std::io::ErrorKind::BrokenPipe => {
             Err(format!("cannot write standard output: {error}"))
--- a/crates/gradeshunt/src/planning.rs
+++ b/crates/gradeshunt/src/planning.rs
@@ -49,13 +49,13 @@
     lost.dedup();
     let wanted = if lost.is_empty() { losses(&layout) } else { vec![lost] };
     let plans = wanted.iter().map(|lost| solve(&layout, lost)).collect::<Result<Vec<_>, _>>()?;
-    let told = match format {
+    let output = match format {
         Format::Text => plans.iter().map(|p| table(&layout, p)).collect(),
         Format::Json => {
-            format!("{}\n", Value::from(plans.iter().map(|p| object(&layout, p)).collect::<Vec<_>>()))
+            format!("{}\n", Value::from(plans.iter().map(|p| json_plan(&layout, p)).collect::<Vec<_>>()))
         }
     };
-    match std::io::stdout().write_all(told.as_bytes()) {
+    match std::io::stdout().write_all(output.as_bytes()) {
         // The reader has closed the pipe.
         Err(e) if e.kind() != std::io::ErrorKind::BrokenPipe => {
             return Err(format!("cannot write standard output: {e}"))
@@ -72,7 +72,7 @@
     lost.iter().map(|s| layout.sites[s.0].name.as_str()).collect::<Vec<_>>().join(" and ")
 }
 
-fn floor(layout: &Layout, of: &Of) -> String {
+fn floor_name(layout: &Layout, of: &Of) -> String {
     match of {
         Of::Class(c) => format!("class {}", layout.classes[*c].name),
         Of::Tenant(t) => format!("tenant {t}"),
@@ -115,12 +115,12 @@
         let _ = writeln!(text, "  cluster {}: no site is left for its primary", layout.sets[*set].cluster);
     }
     for (f, short) in layout.floors.iter().zip(&plan.short).filter(|(_, s)| **s > 0.0) {
-        let _ = writeln!(text, "  floor of {}: {short:.1} a second short", floor(layout, &f.of));
+        let _ = writeln!(text, "  floor of {}: {short:.1} a second short", floor_name(layout, &f.of));
     }
     text
 }
 
-fn object(layout: &Layout, plan: &Outcome) -> Value {
+fn json_plan(layout: &Layout, plan: &Outcome) -> Value {
     let name = |s: SiteId| layout.sites[s.0].name.clone();
     let refused = plan.refused(layout);
     let demands = layout.demands.iter().enumerate().map(|(n, d)| {
@@ -134,7 +134,7 @@
         json!({"cluster": layout.sets[u.set].cluster, "site": name(u.site), "work": u.work, "bears": u.bears})
     });
     let short = layout.floors.iter().zip(&plan.short).filter(|(_, s)| **s > 0.0);
-    let short = short.map(|(f, s)| json!({"floor": floor(layout, &f.of), "short": s}));
+    let short = short.map(|(f, s)| json!({"floor": floor_name(layout, &f.of), "short": s}));
     let headless = plan.headless.iter().map(|s| layout.sets[*s].cluster);
     json!({"lost": plan.lost.iter().map(|s| name(*s)).collect::<Vec<_>>(), "verdict": plan.verdict(layout).name(),
         "worth": plan.worth, "demands": demands.collect::<Vec<_>>(), "used": used.collect::<Vec<_>>(),
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -22,13 +22,13 @@
 use crate::deadlines::Due;
 use crate::exchange;
 use crate::frontend::Frontend;
-use crate::resumed::Resumed;
+use crate::resumed::RetryInterrupted;
 use crate::shared::worker::{Wake, Worker};
 use crate::shared::{self, Shared};
 use crate::transient::retry_while_transient;
 use crate::turn::{self, Ready, Source};
 
-const SUMMARY: Micros = 10_000_000;
+const SUMMARY_INTERVAL: Micros = 10_000_000;
 /// Interval at which the state shared with other processes of this proxy is read.
 const SHARED_STATE_POLL_INTERVAL: Micros = 50_000;
 /// How long a new process waits to learn what other processes of its proxy do.
@@ -37,7 +37,7 @@
 /// silent, well within the 6 s that it has.
 const DISCOVERY_GRACE: Micros = 1_000_000;
 /// Descriptors reserved for operators' connections.
-const OPERATORS: usize = 12;
+const OPERATOR_SOCKETS: usize = 12;
 
 /// The program's parts, and the state that belongs to none of them.
 pub struct Proxy {
@@ -50,27 +50,27 @@
     /// Descriptors and bytes of memory that this proxy may use, shared by its processes while two of them
     /// run.
     sockets: usize,
-    memory: usize,
+    memory_bytes: usize,
     /// Whether the platform holds the clients' socket and passes it to this process.
-    held: bool,
+    is_socket_inherited: bool,
     /// The clients' socket, until this process accepts connections on it.
-    waiting: Option<TcpListener>,
+    unserved_listener: Option<TcpListener>,
     /// The socket for other proxies, until this process accepts connections on it.
     peer_socket: Option<socket2::Socket>,
     /// Time at which the proxy begins at the latest; `None` once it has begun.
     begin_by: Option<Micros>,
     /// How long discovery may be silent.
-    silence: Micros,
+    watch_silence: Micros,
     /// Why the program can't continue.
-    pub failed: Option<String>,
+    pub fatal_error: Option<String>,
     /// Names of the classes, for the metrics.
     classes: Vec<String>,
     /// Names of the tenants, for the metrics.
     tenants: Vec<String>,
-    longest: Micros,
+    longest_deadline: Micros,
     connect_timeout: Micros,
-    terminating: bool,
-    leave: bool,
+    is_terminating: bool,
+    must_leave: bool,
     /// Time by which the process must have ended; set at SIGTERM.
     end_by: Option<Micros>,
 }
@@ -90,9 +90,9 @@
     ) -> Result<Proxy, String> {
         let (ping, pinged) =
             retry_while_transient(calloop::ping::make_ping).map_err(|e| format!("cannot poll: {e}"))?;
-        let source = Resumed(pinged);
-        let told = event_loop.handle().insert_source(source, |(), (), ready| ready.push(Source::Files));
-        told.map_err(|e| format!("cannot poll: {e}"))?;
+        let source = RetryInterrupted(pinged);
+        let registered = event_loop.handle().insert_source(source, |(), (), ready| ready.push(Source::Files));
+        registered.map_err(|e| format!("cannot poll: {e}"))?;
         Proxy::with_waker(config, file, event_loop, log, ping)
     }
 
@@ -106,8 +106,9 @@
     ) -> Result<Proxy, String> {
         let mut core = Core::new(&mut config, event_loop, log)?;
         let tenants = config.tenants();
-        let Config { name, listen, listen_fd, control, sockets, memory, silence, facts, rules, .. } = config;
-        let longest = facts.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let Config { name, listen, listen_fd, control, sockets, memory_bytes, silence, facts, rules, .. } =
+            config;
+        let longest_deadline = facts.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let classes = facts.names.classes.clone();
         let connect_timeout = facts.connections.connect_timeout;
         let backend = Backend::new(facts.connections, &facts.names);
@@ -120,14 +121,14 @@
         let mut frontend = Frontend::new(facts.settings, facts.names);
         frontend.route_by(rules);
         let listen = |addr| {
-            retry_while_transient(|| Control::listen(&core.turn, addr, OPERATORS))
+            retry_while_transient(|| Control::listen(&core.turn, addr, OPERATOR_SOCKETS))
                 .map_err(|e| format!("cannot listen at {addr}: {e}"))
         };
         let control = control.map(listen).transpose()?;
         let worker = Worker::start(move || shared::files::open(&name), file, waker);
         let worker = worker.map_err(|e| format!("cannot start a thread: {e}"))?;
         let turn = &mut core.turn;
-        turn.deadlines.set(turn.now + SUMMARY, Due::Summary);
+        turn.deadlines.set(turn.now + SUMMARY_INTERVAL, Due::Summary);
         turn.deadlines.set(turn.now, Due::Reap);
         turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, Due::Look);
         let begin_by = turn.now + SHARED_STATE_TIMEOUT;
@@ -140,25 +141,25 @@
             shared: Shared::new(),
             worker,
             sockets,
-            memory,
-            held: listen_fd.is_some(),
-            waiting: Some(listener),
+            memory_bytes,
+            is_socket_inherited: listen_fd.is_some(),
+            unserved_listener: Some(listener),
             peer_socket: None,
             begin_by: Some(begin_by),
-            silence,
-            failed: None,
+            watch_silence: silence,
+            fatal_error: None,
             classes,
             tenants,
-            longest,
+            longest_deadline,
             connect_timeout,
-            terminating: false,
-            leave: false,
+            is_terminating: false,
+            must_leave: false,
             end_by: None,
         };
         proxy.share_limits();
         proxy.open_placement()?;
-        proxy.watch_sites();
-        proxy.settle();
+        proxy.check_sites();
+        proxy.run_until_idle();
         Ok(proxy)
     }
 
@@ -170,20 +171,23 @@
         self.core.turn.deadlines.clear(by, Due::Begin);
         self.share_limits();
         self.core.start();
-        self.settle();
+        self.run_until_idle();
         if self.shared.is_alone() {
             self.serve();
         } else {
-            info!(self.core.turn.log, "starting while another process of this proxy runs"; "control" => self.operators());
-            self.core.turn.deadlines.set(self.core.turn.now + self.silence + DISCOVERY_GRACE, Due::Serve);
+            info!(self.core.turn.log, "starting while another process of this proxy runs"; "control" => self.operators_address());
+            self.core
+                .turn
+                .deadlines
+                .set(self.core.turn.now + self.watch_silence + DISCOVERY_GRACE, Due::Serve);
         }
     }
 
     /// Carries orders, answers and file work between the parts until none is left.
-    fn settle(&mut self) {
+    fn run_until_idle(&mut self) {
         loop {
             if let Some(step) = self.core.step() {
-                self.take(step);
+                self.carry_out_step(step);
             } else if let Some(task) = self.shared.next(self.core.turn.now) {
                 if !self.worker.ask(task) {
                     warn!(self.core.turn.log, "file work dropped: its thread has ended or is too far behind");
@@ -195,10 +199,10 @@
     }
 
     /// Carries out a step of the control core that needs sockets.
-    fn take(&mut self, step: Step) {
+    fn carry_out_step(&mut self, step: Step) {
         let Core { turn, exchange, .. } = &mut self.core;
         match step {
-            Step::List(list) => self.list(&list),
+            Step::List(list) => self.apply_list(&list),
             Step::Order(order) => self.backend.carry_out(turn, exchange, order),
             Step::Answer(request, exchange::Answer::Part(bytes)) => {
                 self.frontend.part(turn, exchange, request, &bytes)
@@ -211,7 +215,7 @@
 
     /// Applies a list that the decision library has received: the connection pool follows it, and db hosts
     /// that are held out stay held out.
-    fn list(&mut self, list: &List) {
+    fn apply_list(&mut self, list: &List) {
         let Core { turn, exchange, .. } = &mut self.core;
         self.frontend.has_hosts |= list.entries() > 0;
         self.backend.list(turn, exchange, list.kind, &list.listed);
@@ -220,8 +224,8 @@
             exchange.maintain(turn, l.member, true);
             self.backend.maintain(turn, exchange, l.member, true);
         }
-        let lost = |l: &&backend::Listed| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
-        for member in list.listed.iter().filter(lost).map(|l| l.member).collect::<Vec<_>>() {
+        let at_lost_site = |l: &&backend::Listed| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
+        for member in list.listed.iter().filter(at_lost_site).map(|l| l.member).collect::<Vec<_>>() {
             exchange.maintain(turn, member, true);
         }
         if list.is_heard() && self.frontend.has_hosts {
@@ -232,7 +236,7 @@
     /// Whether the program may end: every request is answered, or it must leave now.
     pub fn is_done(&self) -> bool {
         let process = ProcessFacts {
-            must_leave: self.leave,
+            must_leave: self.must_leave,
             serving: self.frontend.serves(),
             clients_open: self.frontend.has_clients(),
             requests_open: !self.core.exchange.is_idle(),
@@ -256,12 +260,12 @@
             Source::Server(id) => self.backend.ready(turn, exchange, id),
             Source::Call(_) => {}
             Source::Control => self.control.iter_mut().for_each(|c| c.accept(turn)),
-            Source::Caller(id) => self.call(id),
+            Source::Caller(id) => self.serve_operator(id),
             Source::Terminate => self.terminate(),
             Source::Reload => self.shared.reread(),
-            Source::Files => self.file_work_done(),
+            Source::Files => self.collect_file_work(),
         }
-        self.settle();
+        self.run_until_idle();
     }
 
     fn due(&mut self, due: Due) {
@@ -281,27 +285,27 @@
             Due::Look => {
                 turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, Due::Look);
                 // The ping that announces completed work may have failed.
-                self.file_work_done();
+                self.collect_file_work();
                 let turn = &self.core.turn;
-                let stands = self.shared.look(turn.now);
-                stands.into_iter().for_each(|c| self.change(c));
+                let complaint = self.shared.look(turn.now);
+                complaint.into_iter().for_each(|c| self.apply_change(c));
             }
             Due::Begin => self.begin(),
             Due::Reap => self.frontend.reap(turn),
             Due::CloseListener => self.frontend.close_listener(turn, exchange, false),
             Due::Serve if self.frontend.has_hosts => self.serve(),
             Due::Serve => turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, Due::Serve),
-            Due::Sites => self.watch_sites(),
+            Due::Sites => self.check_sites(),
             Due::Summary => {
                 exchange.sum_up(turn);
                 self.frontend.log_summary(turn);
                 self.core.loop_stats.log_summary(&turn.log);
-                turn.deadlines.set(turn.now + SUMMARY, Due::Summary);
+                turn.deadlines.set(turn.now + SUMMARY_INTERVAL, Due::Summary);
             }
             Due::LastAnswers => exchange.end_all(turn),
-            Due::Leave => self.leave = true,
+            Due::Leave => self.must_leave = true,
         }
-        self.settle();
+        self.run_until_idle();
     }
 }
 
--- a/crates/gradeshunt/src/proxy/changes.rs
+++ b/crates/gradeshunt/src/proxy/changes.rs
@@ -10,17 +10,17 @@
 
 impl Proxy {
     /// Takes over the work that the thread for file work has completed.
-    pub(super) fn file_work_done(&mut self) {
+    pub(super) fn collect_file_work(&mut self) {
         while let Some(done) = self.worker.done() {
             let changes = self.shared.done(self.core.turn.now, done);
-            changes.into_iter().for_each(|c| self.change(c));
+            changes.into_iter().for_each(|c| self.apply_change(c));
         }
     }
 
     /// Applies a change that file work has shown.
-    pub(super) fn change(&mut self, change: Change) {
+    pub(super) fn apply_change(&mut self, change: Change) {
         match change {
-            Change::Unusable(why) => self.failed = Some(why),
+            Change::Unusable(why) => self.fatal_error = Some(why),
             Change::FirstScan => {
                 self.begin();
                 // The proxy may have begun before the folder was read, and turn out to be alone.
@@ -28,7 +28,7 @@
                     self.serve();
                 }
             }
-            Change::HoldOut { id, out } => self.maintain(&id, out),
+            Change::HoldOut { id, out } => self.apply_hold_out(&id, out),
             Change::OtherProcess { is_new } => {
                 if is_new {
                     let duty = self.shared.other_process().map(ProcessState::name);
@@ -45,7 +45,7 @@
                         Answer::new(500, "cannot be kept\n")
                     }
                 };
-                self.answer(caller, &answer);
+                self.answer_operator(caller, &answer);
             }
             Change::Reread(config) => self.reload(config),
             Change::Warning { what, why } => warn!(self.core.turn.log, "{}", what; "error" => why),
--- a/crates/gradeshunt/src/proxy/operators.rs
+++ b/crates/gradeshunt/src/proxy/operators.rs
@@ -9,17 +9,17 @@
 
 impl Proxy {
     /// Reads an operator's connection and carries out its command.
-    pub(super) fn call(&mut self, id: CallerId) {
+    pub(super) fn serve_operator(&mut self, id: CallerId) {
         let Some(command) = self.control.as_mut().and_then(|c| c.ready(&mut self.core.turn, id)) else {
             return;
         };
         if let Some(answer) = self.carry_out(id, command) {
-            self.answer(id, &answer);
+            self.answer_operator(id, &answer);
         }
     }
 
     /// Answers an operator's call.
-    pub(super) fn answer(&mut self, id: CallerId, answer: &Answer) {
+    pub(super) fn answer_operator(&mut self, id: CallerId, answer: &Answer) {
         if let Some(control) = &mut self.control {
             control.answer(&mut self.core.turn, id, answer);
         }
@@ -29,7 +29,7 @@
     fn carry_out(&mut self, caller: CallerId, command: control::Command) -> Option<Answer> {
         let (turn, exchange) = (&mut self.core.turn, &mut self.core.exchange);
         Some(match command {
-            control::Command::Status if self.frontend.has_hosts && self.waiting.is_none() => {
+            control::Command::Status if self.frontend.has_hosts && self.unserved_listener.is_none() => {
                 Answer::new(200, "serving\n")
             }
             control::Command::Status => Answer::new(503, "starting\n"),
@@ -45,8 +45,8 @@
                 None => Answer::new(404, "no rules for plain statements are given\n"),
             },
             control::Command::Loop => Answer::new(200, self.core.loop_stats.exposition()),
-            control::Command::Sites => self.show_sites(),
-            control::Command::Placement => self.show_placement(),
+            control::Command::Sites => self.sites_status(),
+            control::Command::Placement => self.placement_status(),
             control::Command::HoldSite(name) => self.hold_site(&name, true),
             control::Command::LetSiteBack(name) => self.hold_site(&name, false),
             control::Command::Standby | control::Command::Active => {
@@ -71,7 +71,7 @@
         (!taken).then(|| Answer::new(503, "too much file work is under way\n"))
     }
 
-    pub(super) fn maintain(&mut self, id: &str, out: bool) {
+    pub(super) fn apply_hold_out(&mut self, id: &str, out: bool) {
         info!(self.core.turn.log, "db host held out or readmitted"; "id" => id, "out" => out);
         let Some(member) = self.core.discovery.member(id) else { return };
         // The db host's site may be held out as well.
--- a/crates/gradeshunt/src/proxy/placement.rs
+++ b/crates/gradeshunt/src/proxy/placement.rs
@@ -28,7 +28,7 @@
             return Ok(());
         };
         self.peer_socket = Some(bind(address)?);
-        self.use_peers();
+        self.update_peers();
         Ok(())
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Tells the parts about the other proxies in the placement.
-    fn use_peers(&mut self) {
+    fn update_peers(&mut self) {
         let Some(placing) = &self.core.exchange.placing else { return };
         let (own_name, peers) = (placing.own_name().to_owned(), placing.peers());
         info!(self.core.turn.log, "placement"; "peers" => peers.len(), "is" => placing.summary());
@@ -81,17 +81,17 @@
             Some(placing) => placing.replace(placement),
             none => *none = Some(Placing::new(placement, self.connect_timeout)),
         }
-        self.use_peers();
+        self.update_peers();
         if let Some(socket) = socket {
             self.peer_socket = Some(socket);
-            if self.waiting.is_none() {
+            if self.unserved_listener.is_none() {
                 self.serve_peers();
             }
         }
     }
 
     /// The status that operators see.
-    pub(super) fn show_placement(&self) -> Answer {
+    pub(super) fn placement_status(&self) -> Answer {
         match &self.core.exchange.placing {
             Some(placing) => Answer::new(200, placing.exposition(self.core.turn.now)),
             None => Answer::new(404, "no file on placement is given\n"),
--- a/crates/gradeshunt/src/proxy/sites.rs
+++ b/crates/gradeshunt/src/proxy/sites.rs
@@ -13,14 +13,14 @@
 
 impl Proxy {
     /// Evaluates the sites, and schedules the next evaluation.
-    pub(super) fn watch_sites(&mut self) {
+    pub(super) fn check_sites(&mut self) {
         let Some(sites) = &mut self.core.exchange.sites else { return };
         let next = sites.look(self.core.turn.now);
         self.core.turn.deadlines.set(next, Due::Sites);
-        self.carry_out_sites();
+        self.apply_site_actions();
     }
 
-    fn carry_out_sites(&mut self) {
+    fn apply_site_actions(&mut self) {
         let Some(sites) = &mut self.core.exchange.sites else { return };
         let actions = std::mem::take(&mut sites.actions);
         for action in actions {
@@ -29,7 +29,7 @@
                     self.core.exchange.maintain(&mut self.core.turn, member, true);
                     self.core.exchange.orders.push_back(Order::CloseIdle(member));
                 }
-                Action::PutBack(member) => self.put_back(member),
+                Action::PutBack(member) => self.readmit(member),
                 Action::Probe(member) => self.core.exchange.orders.push_back(Order::Probe(member)),
                 Action::Changed(site, state, why) => {
                     let name = self.core.exchange.sites.as_ref().map(|s| s.name(site).to_owned());
@@ -47,7 +47,7 @@
     }
 
     /// Readmits a db host of a site that is back, unless an operator holds it out by name.
-    fn put_back(&mut self, member: MemberId) {
+    fn readmit(&mut self, member: MemberId) {
         let by_hand = self.core.discovery.name(member).is_some_and(|id| self.shared.is_held_out(id));
         if !by_hand {
             self.core.exchange.maintain(&mut self.core.turn, member, false);
@@ -64,18 +64,18 @@
                 self.core.exchange.sites = Some(sites);
             }
             (Some(sites), None) => self.core.exchange.sites = Some(sites),
-            (None, Some(former)) => former.out().for_each(|member| self.put_back(member)),
+            (None, Some(former)) => former.out().for_each(|member| self.readmit(member)),
             (None, None) => return,
         }
-        self.carry_out_sites();
+        self.apply_site_actions();
         if !watched {
             // The new watch of sites knows no db host until it gets a list.
             self.core.exchange.asks.push_back(Ask::Fetch);
-            self.watch_sites();
+            self.check_sites();
         }
     }
 
-    pub(super) fn show_sites(&self) -> Answer {
+    pub(super) fn sites_status(&self) -> Answer {
         match &self.core.exchange.sites {
             Some(sites) => Answer::new(200, sites.exposition()),
             None => Answer::new(404, "no file on sites is given\n"),
@@ -90,7 +90,7 @@
             return Answer::new(404, "no such site\n");
         }
         info!(self.core.turn.log, "site held out or let back by an operator"; "out" => out, "name" => name);
-        self.carry_out_sites();
+        self.apply_site_actions();
         Answer::new(200, if out { "held out\n" } else { "let back\n" })
     }
 }
--- a/crates/gradeshunt/src/resumed.rs
+++ b/crates/gradeshunt/src/resumed.rs
@@ -10,9 +10,9 @@
 use calloop::{EventSource, Poll, PostAction, Readiness, Token, TokenFactory};
 
 /// A level-triggered source that, if a signal interrupts its read, is read again after the next poll.
-pub struct Resumed<S>(pub S);
+pub struct RetryInterrupted<S>(pub S);
 
-impl<S> EventSource for Resumed<S>
+impl<S> EventSource for RetryInterrupted<S>
 where
     S: EventSource,
     S::Error: Error + 'static,
--- a/crates/gradeshunt/src/ring.rs
+++ b/crates/gradeshunt/src/ring.rs
@@ -5,7 +5,7 @@
 
 use rustix::io::Errno;
 
-use crate::memory::Held;
+use crate::memory::BufferBytes;
 
 /// A ring starts at this size,
 pub const SMALL: usize = 2 * 1024;
@@ -32,7 +32,7 @@
     buf: Vec<u8>,
     head: usize,
     len: usize,
-    held: Held,
+    held: BufferBytes,
 }
 
 impl Ring {
--- a/crates/gradeshunt/src/ring/tests.rs
+++ b/crates/gradeshunt/src/ring/tests.rs
@@ -26,10 +26,10 @@
     let mut ring = Ring::default();
     assert!(ring.push(&vec![1; LARGEST]));
     assert!(ring.is_full() && !ring.push(&[1]));
-    assert_eq!(memory::held(), LARGEST);
+    assert_eq!(memory::total_buffered(), LARGEST);
     ring.consume(LARGEST);
-    assert_eq!((ring.buf.len(), memory::held()), (0, 0));
+    assert_eq!((ring.buf.len(), memory::total_buffered()), (0, 0));
     assert!(ring.push(&[1]));
     drop(ring);
-    assert_eq!(memory::held(), 0);
+    assert_eq!(memory::total_buffered(), 0);
 }
--- a/crates/gradeshunt/src/run.rs
+++ b/crates/gradeshunt/src/run.rs
@@ -10,11 +10,11 @@
 use crate::cli::{self, Arguments, Command, LogFormat, LogLevel};
 use crate::config::Config;
 use crate::cycle::Cycle;
-use crate::logging::{Log, LAST};
+use crate::logging::{Log, LAST_LINE};
 use crate::placement_command;
 use crate::planning;
 use crate::proxy::Proxy;
-use crate::resumed::Resumed;
+use crate::resumed::RetryInterrupted;
 use crate::transient::retry_while_transient;
 use crate::turn::{Ready, Source};
 
@@ -22,15 +22,15 @@
 const NOT_BORNE: u8 = 3;
 
 /// Runs the loop until the proxy is done; returns the time until which the process may wait for its log.
-fn turns(mut cycle: Cycle, mut proxy: Proxy) -> Result<Instant, String> {
+fn run_loop(mut cycle: Cycle, mut proxy: Proxy) -> Result<Instant, String> {
     while !proxy.is_done() {
         let wait = Cycle::wait(&proxy.core);
         cycle.turn(&mut proxy, wait)?;
-        if let Some(why) = proxy.failed.take() {
+        if let Some(why) = proxy.fatal_error.take() {
             return Err(why);
         }
     }
-    info!(proxy.core.turn.log, #LAST, "leaving");
+    info!(proxy.core.turn.log, #LAST_LINE, "leaving");
     Ok(Instant::now() + proxy.time_left())
 }
 
@@ -43,14 +43,14 @@
     let config = Config::load(file.as_deref())?;
     let cycle = Cycle::open()?;
     let handle = cycle.event_loop().handle();
-    let told = handle.insert_source(Resumed(signals), move |event, (), ready: &mut Ready| {
+    let registered = handle.insert_source(RetryInterrupted(signals), move |event, (), ready: &mut Ready| {
         let reload = event.signal() == Signal::SIGHUP;
         ready.push(if reload { Source::Reload } else { Source::Terminate });
     });
-    told.map_err(|e| format!("cannot take signals: {e}"))?;
+    registered.map_err(|e| format!("cannot take signals: {e}"))?;
     let log = Log::open(format, level, &config.name);
     let proxy = Proxy::new(config, file, cycle.event_loop(), log.logger.clone())?;
-    let end_by = turns(cycle, proxy)?;
+    let end_by = run_loop(cycle, proxy)?;
     log.end(end_by);
     Ok(())
 }
@@ -68,7 +68,7 @@
         Some(Command::Classify { rules, format, null, sql }) => cli::classify(rules, format, null, sql)?,
         Some(Command::Plan(options)) if !planning::plan(&options)? => return Ok(ExitCode::from(NOT_BORNE)),
         Some(Command::Plan(_)) => {}
-        Some(Command::Placement(options)) => placement_command::place(&options)?,
+        Some(Command::Placement(options)) => placement_command::print_groups(&options)?,
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/gradeshunt/src/transient.rs
+++ b/crates/gradeshunt/src/transient.rs
@@ -8,9 +8,9 @@
 
 /// How long a starting process waits for a resource that the system lacks, well within the time in which a
 /// process must be ready.
-const START_PATIENCE: Duration = Duration::from_secs(4);
+const MAX_START_WAIT: Duration = Duration::from_secs(4);
 /// Pause between two attempts.
-const PAUSE: Duration = Duration::from_millis(20);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// Whether an error is transient: a lack of descriptors, ports, memory or disk space, or a disk that fails
 /// for a while.
@@ -41,7 +41,7 @@
     let began = Instant::now();
     loop {
         match get() {
-            Err(e) if is_transient(&e) && began.elapsed() < START_PATIENCE => thread::sleep(PAUSE),
+            Err(e) if is_transient(&e) && began.elapsed() < MAX_START_WAIT => thread::sleep(RETRY_PAUSE),
             got => return got,
         }
     }
