--- a/crates/gradeshunt/src/proxy/lifetime.rs
+++ b/crates/gradeshunt/src/proxy/lifetime.rs
@@ -22,7 +22,7 @@
 /// A process that leaves waits for its log until then and no longer: it must have ended before SIGKILL.
 const END_AFTER: Micros = LEAVE_AFTER + 100_000;
 /// Open requests get their last answer this long before the process leaves. Requests that arrive in the
-/// `LAST_CALL` before that are not read any more.
+/// `LAST_READ_BEFORE_ANSWERS` before that are not read any more.
 const LAST_ANSWERS_BEFORE_LEAVING: Micros = 50_000;
 const LAST_READ_BEFORE_ANSWERS: Micros = 50_000;
 /// Descriptors reserved for the log, the poll, the signals, discovery and files.
--- a/crates/measure/src/capacity/data/stage.rs
+++ b/crates/measure/src/capacity/data/stage.rs
@@ -11,7 +11,7 @@
 
 use crate::Setting;
 
-/// Descriptors that the program keeps for itself and for operators: `RESERVED` and `OPERATORS` of its main module. Of the
+/// Descriptors that the program keeps for itself and for operators: `RESERVED_SOCKETS` and `OPERATOR_SOCKETS` of its main module. Of the
 /// rest a third is for db hosts.
 const KEPT: u32 = 24 + 12;
 const SHARE_OF_HOSTS: u32 = 3;
