--- a/crates/gradeshunt/src/config.rs
+++ b/crates/gradeshunt/src/config.rs
@@ -37,7 +37,7 @@
     /// Memory that the proxy may use, in bytes.
     pub memory_bytes: usize,
     /// How long discovery may be silent before a call to it counts as broken.
-    pub silence: Micros,
+    pub watch_silence: Micros,
     /// The list of db hosts that this proxy last had, in discovery's format; null if there is none.
     pub known_list: Value,
     /// The settings, as read by the decision library.
@@ -146,10 +146,10 @@
         let facts = settings::read(value.get("settings").ok_or("settings is missing".to_owned())?);
         let facts = facts.map_err(|e| format!("settings: {e}"));
         let seed = text("seed")?;
-        let limit = |key: &str, usual| {
+        let limit = |key: &str, default| {
             let v = value.pointer(&format!("/limits/{key}")).filter(|v| !v.is_null());
             let n = v.map(|v| v.as_u64().ok_or_else(|| format!("limits.{key} is not a whole number: {v}")));
-            n.transpose().map(|n| n.unwrap_or(usual))
+            n.transpose().map(|n| n.unwrap_or(default))
         };
         let sockets = limit("sockets", 1024)?;
         if sockets < 64 {
@@ -174,7 +174,7 @@
             seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed is not hex: {seed:?}"))?,
             sockets: usize::try_from(sockets).unwrap_or(usize::MAX),
             memory_bytes: usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(1 << 20),
-            silence: silence.transpose()?.unwrap_or(DEFAULT_SILENCE),
+            watch_silence: silence.transpose()?.unwrap_or(DEFAULT_SILENCE),
             known_list: value.get("known").cloned().unwrap_or(Value::Null),
             facts,
             rules,
--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -11,7 +11,7 @@
 
 use crate::accept_failure::AcceptFailure;
 use crate::deadlines::Due;
-use crate::figures::{Figures, OutcomeCounts};
+use crate::figures::{Metrics, OutcomeCounts};
 use crate::ids::CallerId;
 use crate::ring::{Moved, Ring};
 use crate::turn::{self, Polled, Source, Turn};
@@ -280,7 +280,7 @@
 }
 
 /// The figures as text: a line each, by class where a class has its own.
-pub fn exposition(figures: &Figures, classes: &[String], tenants: &[String]) -> String {
+pub fn exposition(figures: &Metrics, classes: &[String], tenants: &[String]) -> String {
     let statuses = |c: &OutcomeCounts| [("success", c.served), ("overload", c.refused), ("error", c.failed)];
     let mut text = String::from("# TYPE app_replies counter\n");
     for (class, count) in classes.iter().zip(&figures.classes) {
@@ -315,10 +315,10 @@
             let _ = writeln!(text, "app_{name}{{{label}=\"{value}\"}} {n}");
         }
     }
-    if !figures.reasons.is_empty() {
+    if !figures.unserved.is_empty() {
         text += "# TYPE app_not_served counter\n";
     }
-    for ((outcome, reason), n) in &figures.reasons {
+    for ((outcome, reason), n) in &figures.unserved {
         let _ = writeln!(text, "app_not_served{{outcome=\"{outcome}\",reason=\"{reason}\"}} {n}");
     }
     let totals = [
@@ -328,7 +328,7 @@
         ("expired_unsent", "counter", figures.expired_unsent),
         ("concurrent", "gauge", figures.concurrent),
         ("targets", "gauge", figures.targets),
-        ("targets_disabled", "gauge", figures.avoided),
+        ("targets_disabled", "gauge", figures.targets_avoided),
     ];
     for (name, kind, n) in totals {
         let _ = writeln!(text, "# TYPE app_{name} {kind}\napp_{name} {n}");
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -74,7 +74,7 @@
         let turn = Turn::new(event_loop.handle(), log);
         let facts = &config.facts;
         let pace = discovery::WatchPolicy::new(&facts.settings);
-        let mut discovery = Discovery::new(config.discovery, config.silence, facts.names.clone(), pace);
+        let mut discovery = Discovery::new(config.discovery, config.watch_silence, facts.names.clone(), pace);
         let known = std::mem::take(&mut config.known_list);
         let known = if known.is_null() { None } else { Some(discovery.read_known(&turn.clock, &known)?) };
         let tenants = config.tenants();
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -119,41 +119,41 @@
             return Ok(ListUpdate::new(ListKind::Incremental));
         }
         let full = field("reset").is_some_and(|v| v == true);
-        let mut news = ListUpdate::new(if full { ListKind::Full } else { ListKind::Incremental });
+        let mut update = ListUpdate::new(if full { ListKind::Full } else { ListKind::Incremental });
         for raw in list {
             // One malformed entry must not hide a drain among the others.
             let entry =
                 serde_json::from_str(raw.get()).map_err(|e| format!("an instance that is not JSON: {e}"));
             match entry.and_then(|v| self.read_entry(clock, &v)) {
                 Ok((id, entry, addr)) => {
-                    news.listed.push(Listed { id, member: entry.member, addr, phase: entry.phase });
-                    news.entries.push(entry);
+                    update.listed.push(Listed { id, member: entry.member, addr, phase: entry.phase });
+                    update.entries.push(entry);
                 }
                 Err(what) => {
-                    news.unreadable += 1;
-                    news.why.extend((news.unreadable <= MAX_REPORTED).then_some(what));
+                    update.unreadable += 1;
+                    update.why.extend((update.unreadable <= MAX_REPORTED).then_some(what));
                 }
             }
         }
         // Bounds the memory of a long-lived process: names come and go all the time.
         let mut gone = HashSet::new();
-        for e in &news.entries {
+        for e in &update.entries {
             match e.phase {
                 Phase::Removed => gone.insert(e.member),
                 Phase::Up | Phase::Draining => gone.remove(&e.member),
             };
         }
-        let listed: Option<HashSet<_>> = full.then(|| news.entries.iter().map(|e| e.member).collect());
+        let listed: Option<HashSet<_>> = full.then(|| update.entries.iter().map(|e| e.member).collect());
         self.numbers.retain(|_, m| !gone.contains(m) && listed.as_ref().is_none_or(|all| all.contains(m)));
         let numbers: HashSet<_> = self.numbers.values().copied().collect();
         self.starts.retain(|member, _| numbers.contains(member));
         if !clock.is_offset_confirmed(clock.now()) {
-            let started = news.entries.iter().filter(|e| e.since.is_some());
+            let started = update.entries.iter().filter(|e| e.since.is_some());
             self.unconfirmed.extend(started.map(|e| (e.member, e.clone())));
         }
         self.unconfirmed.retain(|member, _| numbers.contains(member));
         self.generation = generation;
-        Ok(news)
+        Ok(update)
     }
 
     /// Returns the entries whose start times were read with a clock offset that primaries have corrected
@@ -162,16 +162,16 @@
         if self.unconfirmed.is_empty() || !clock.is_offset_confirmed(clock.now()) {
             return None;
         }
-        let mut news = ListUpdate::new(ListKind::Incremental);
+        let mut update = ListUpdate::new(ListKind::Incremental);
         for (member, mut entry) in std::mem::take(&mut self.unconfirmed) {
             let Some(start) = self.starts.get_mut(&member) else { continue };
             let at = clock.latest_at_unix_ms(start.unix_ms);
             if at > start.at + STEP_TOLERANCE {
                 (start.at, entry.since) = (at, Some(at));
-                news.entries.push(entry);
+                update.entries.push(entry);
             }
         }
-        (!news.entries.is_empty()).then_some(news)
+        (!update.entries.is_empty()).then_some(update)
     }
 
     /// Converts the start time of a db host from Unix time in milliseconds to the proxy's clock.
--- a/crates/gradeshunt/src/discovery/list/tests.rs
+++ b/crates/gradeshunt/src/discovery/list/tests.rs
@@ -42,8 +42,8 @@
         format!(r#"{{"generation":1,"reset":true,"instances":[{}]}}"#, all.join(","))
     };
     let (mut reader, clock) = (reader(), Clock::start());
-    let news = reader.read_list(&clock, &list(10_000), 0).expect("a list");
-    assert_eq!((news.entries.len(), news.unreadable, reader.numbers.len()), (10_000, 0, 10_000));
+    let update = reader.read_list(&clock, &list(10_000), 0).expect("a list");
+    assert_eq!((update.entries.len(), update.unreadable, reader.numbers.len()), (10_000, 0, 10_000));
     assert_eq!(reader.names.zones.len(), MAX_ZONES, "zones beyond the limit count as the last one");
     reader.read_list(&clock, &list(3), 0).expect("a list");
     assert_eq!(reader.numbers.len(), 3);
@@ -57,9 +57,9 @@
     let good = r#"{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a","cell":1,"lifecycle":"draining"}"#;
     let mut reader = reader();
     let text = format!(r#"{{"generation":5,"instances":[{odd}{good},{good}]}}"#);
-    let news = reader.read_list(&Clock::start(), &text, 0).expect("a list");
-    assert_eq!((news.unreadable, news.why.len(), reader.numbers.len()), (9_000, MAX_REPORTED, 1));
-    assert!(news.entries.iter().all(|e| e.phase == Phase::Draining && e.member == MemberId(0)));
+    let update = reader.read_list(&Clock::start(), &text, 0).expect("a list");
+    assert_eq!((update.unreadable, update.why.len(), reader.numbers.len()), (9_000, MAX_REPORTED, 1));
+    assert!(update.entries.iter().all(|e| e.phase == Phase::Draining && e.member == MemberId(0)));
 }
 
 /// Guards against a truncated list: the known list and its version stay in force.
@@ -146,8 +146,8 @@
         let at = answer * 10_000;
         clock.take_primary_time(at, at + offset - AHEAD_MS * 1000);
     }
-    let news = reader.corrected_starts(&clock).expect("a start to correct");
-    assert_eq!((news.kind, news.entries.len()), (ListKind::Incremental, 1));
-    assert!(news.entries[0].since.expect("a start") >= -1_000_000, "it has just started");
+    let update = reader.corrected_starts(&clock).expect("a start to correct");
+    assert_eq!((update.kind, update.entries.len()), (ListKind::Incremental, 1));
+    assert!(update.entries[0].since.expect("a start") >= -1_000_000, "it has just started");
     assert!(reader.corrected_starts(&clock).is_none(), "a start is corrected once");
 }
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -94,14 +94,14 @@
 
     /// Opens the first watch. The decision library asks for nothing before its first event, and a process
     /// without a list has none: it turns requests away.
-    pub fn start(&mut self, turn: &mut Turn, news: &mut Vec<ListUpdate>) {
-        self.ask(turn, Ask::Watch, news);
+    pub fn start(&mut self, turn: &mut Turn, updates: &mut Vec<ListUpdate>) {
+        self.ask(turn, Ask::Watch, updates);
     }
 
     /// Reopens the watch if that is due.
-    pub fn reopen_due(&mut self, turn: &mut Turn, news: &mut Vec<ListUpdate>) {
+    pub fn reopen_due(&mut self, turn: &mut Turn, updates: &mut Vec<ListUpdate>) {
         if self.reopen_at.take_if(|at| *at <= turn.now).is_some() {
-            self.ask(turn, Ask::Watch, news);
+            self.ask(turn, Ask::Watch, updates);
         }
     }
 
@@ -115,8 +115,8 @@
 
     /// Reads the list in the configuration, which may be outdated.
     pub fn read_known(&mut self, clock: &Clock, known: &Value) -> Result<ListUpdate, String> {
-        let news = self.reader.read_list(clock, &known.to_string(), 0)?;
-        Ok(ListUpdate { kind: ListKind::Saved, ..news })
+        let updates = self.reader.read_list(clock, &known.to_string(), 0)?;
+        Ok(ListUpdate { kind: ListKind::Saved, ..updates })
     }
 
     /// Returns db hosts whose start times were read wrongly before primaries had shown the clock offset.
@@ -139,23 +139,23 @@
     }
 
     /// Opens a watch or fetches the list; a failure is reported in `news`.
-    pub fn ask(&mut self, turn: &mut Turn, ask: Ask, news: &mut Vec<ListUpdate>) {
+    pub fn ask(&mut self, turn: &mut Turn, ask: Ask, updates: &mut Vec<ListUpdate>) {
         // One watch at a time: a second would only repeat the first.
         if ask == Ask::Watch && self.calls.values().any(|c| c.ask == Ask::Watch && !c.is_former) {
             return;
         }
         if let Err(e) = self.call(turn, ask) {
             warn!(turn.log, "discovery cannot be reached"; "error" => e.to_string());
-            self.handle_failure(turn, ask, classify_error(&e), news);
+            self.handle_failure(turn, ask, classify_error(&e), updates);
         }
     }
 
     /// Handles a call that failed. Where the list is pushed, a watch is reopened; otherwise the decision
     /// library says when to ask.
-    fn handle_failure(&mut self, turn: &mut Turn, ask: Ask, kind: ListKind, news: &mut Vec<ListUpdate>) {
+    fn handle_failure(&mut self, turn: &mut Turn, ask: Ask, kind: ListKind, updates: &mut Vec<ListUpdate>) {
         match self.policy.pushed {
             Some(wait) if ask == Ask::Watch => self.reopen_in(turn, wait),
-            _ => news.push(ListUpdate::new(kind)),
+            _ => updates.push(ListUpdate::new(kind)),
         }
     }
 
@@ -166,14 +166,14 @@
         turn: &mut Turn,
         addr: SocketAddr,
         silence: Micros,
-        news: &mut Vec<ListUpdate>,
+        updates: &mut Vec<ListUpdate>,
     ) {
         self.silence = silence;
         if std::mem::replace(&mut self.addr, addr) == addr {
             return;
         }
         self.calls.values_mut().for_each(|c| c.is_former = true);
-        self.ask(turn, Ask::Watch, news);
+        self.ask(turn, Ask::Watch, updates);
     }
 
     fn call(&mut self, turn: &mut Turn, ask: Ask) -> io::Result<()> {
@@ -200,7 +200,7 @@
         Ok(())
     }
 
-    pub fn call_due(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<ListUpdate>) {
+    pub fn call_due(&mut self, turn: &mut Turn, id: CallId, updates: &mut Vec<ListUpdate>) {
         let Some(call) = self.calls.get(&id).filter(|c| c.due <= turn.now) else { return };
         // Discovery may be available even if this watch never delivered anything. Another watch is opened
         // before the time runs out after which its news counts as known.
@@ -210,10 +210,10 @@
             let wait = REOPEN_SPREAD as f64 * self.policy.fleet_position;
             return self.reopen_in(turn, wait as Micros);
         }
-        self.fail(turn, id, "silent for too long", news);
+        self.abort(turn, id, "silent for too long", updates);
     }
 
-    pub fn ready(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<ListUpdate>) {
+    pub fn ready(&mut self, turn: &mut Turn, id: CallId, updates: &mut Vec<ListUpdate>) {
         for _ in 0..MAX_READS {
             let Some(call) = self.calls.get_mut(&id) else { return };
             let moved =
@@ -223,13 +223,13 @@
                 Ok(Moved::Nothing) => return,
                 Ok(Moved::End) => true,
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
-                Err(e) => return self.fail_as(turn, id, &e.to_string(), classify_error(&e), news),
+                Err(e) => return self.abort_as(turn, id, &e.to_string(), classify_error(&e), updates),
             };
-            let before = news.len();
-            let read = self.read_answer(turn, id, news);
-            self.has_list |= news.len() > before;
+            let before = updates.len();
+            let read = self.read_answer(turn, id, updates);
+            self.has_list |= updates.len() > before;
             if let Err(what) = read {
-                return self.fail(turn, id, &what, news);
+                return self.abort(turn, id, &what, updates);
             }
             let Some(call) = self.calls.get_mut(&id) else { return };
             let done = call.answer.is_done(ended);
@@ -238,32 +238,37 @@
                 match self.reader.read_line(&turn.clock, &body, call.since_version) {
                     Ok(Some(n)) => {
                         self.has_list = true;
-                        news.push(n);
+                        updates.push(n);
                     }
-                    Ok(None) => return self.fail(turn, id, "an empty list", news),
-                    Err(what) => return self.fail(turn, id, &what, news),
+                    Ok(None) => return self.abort(turn, id, "an empty list", updates),
+                    Err(what) => return self.abort(turn, id, &what, updates),
                 }
                 return self.end(turn, id);
             }
             if ended || done {
-                return self.fail(turn, id, "ended by discovery", news);
+                return self.abort(turn, id, "ended by discovery", updates);
             }
-            if news.len() > before {
+            if updates.len() > before {
                 self.end_former(turn, id);
                 info!(turn.log, "list of db hosts"; "generation" => self.reader.generation(),
-                    "entries" => news[before..].iter().map(|n| n.entries.len()).sum::<usize>());
+                    "entries" => updates[before..].iter().map(|n| n.entries.len()).sum::<usize>());
             }
         }
         turn.again.push(Source::Call(id));
     }
 
     /// Takes the received part of an answer, which may be split anywhere.
-    fn read_answer(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<ListUpdate>) -> Result<(), String> {
+    fn read_answer(
+        &mut self,
+        turn: &mut Turn,
+        id: CallId,
+        updates: &mut Vec<ListUpdate>,
+    ) -> Result<(), String> {
         let Some(call) = self.calls.get_mut(&id) else { return Ok(()) };
         let completed = call.answer.take(&mut call.inbound)?;
         if call.ask == Ask::Watch {
             for list in completed.lists {
-                news.extend(self.reader.read_line(&turn.clock, &list, call.since_version)?);
+                updates.extend(self.reader.read_line(&turn.clock, &list, call.since_version)?);
             }
         }
         if completed.has_any {
@@ -275,17 +280,17 @@
     }
 
     /// Ends a call that discovery has refused, ended, or left silent for too long.
-    fn fail(&mut self, turn: &mut Turn, id: CallId, why: &str, news: &mut Vec<ListUpdate>) {
-        self.fail_as(turn, id, why, ListKind::Failed, news);
+    fn abort(&mut self, turn: &mut Turn, id: CallId, why: &str, updates: &mut Vec<ListUpdate>) {
+        self.abort_as(turn, id, why, ListKind::Failed, updates);
     }
 
-    fn fail_as(
+    fn abort_as(
         &mut self,
         turn: &mut Turn,
         id: CallId,
         why: &str,
         kind: ListKind,
-        news: &mut Vec<ListUpdate>,
+        updates: &mut Vec<ListUpdate>,
     ) {
         let Some(call) = self.calls.get(&id) else { return };
         let (former, ask) = (call.is_former, call.ask);
@@ -295,7 +300,7 @@
             return info!(turn.log, "former watch ended"; "why" => why);
         }
         warn!(turn.log, "call to discovery failed"; "why" => why);
-        self.handle_failure(turn, ask, kind, news);
+        self.handle_failure(turn, ask, kind, updates);
     }
 
     /// Ends the watches at the former address once their successor `id` has delivered the list.
--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -17,7 +17,7 @@
     turn: Turn,
     discovery: Discovery,
     agent: TcpListener,
-    news: Vec<ListUpdate>,
+    updates: Vec<ListUpdate>,
     _poll: EventLoop<'static, Ready>,
 }
 
@@ -30,9 +30,9 @@
         let addr = agent.local_addr().expect("an address");
         let discovery =
             Discovery::new(addr, SILENCE, Names::default(), WatchPolicy { pushed, fleet_position: at });
-        let mut fixture = Fixture { turn, discovery, agent, news: Vec::new(), _poll: poll };
+        let mut fixture = Fixture { turn, discovery, agent, updates: Vec::new(), _poll: poll };
         fixture.turn.now = 0;
-        fixture.discovery.ask(&mut fixture.turn, Ask::Watch, &mut fixture.news);
+        fixture.discovery.ask(&mut fixture.turn, Ask::Watch, &mut fixture.updates);
         fixture
     }
 
@@ -42,7 +42,7 @@
         let id = *self.discovery.calls.last_key_value().expect("a call").0;
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            self.discovery.ready(&mut self.turn, id, &mut self.news);
+            self.discovery.ready(&mut self.turn, id, &mut self.updates);
             call.set_nonblocking(true).expect("it can be set");
             let _ = call.read_to_end(&mut head);
         }
@@ -56,7 +56,7 @@
         while self.discovery.calls[&id].polled.is_quiet() {
             std::thread::yield_now();
         }
-        self.discovery.ready(&mut self.turn, id, &mut self.news);
+        self.discovery.ready(&mut self.turn, id, &mut self.updates);
     }
 
     /// Moves time to the next deadline and handles it; returns its time and kind.
@@ -65,8 +65,8 @@
         self.turn.now = at;
         let due = self.turn.deadlines.pop(at).expect("it is due");
         match due {
-            Due::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
-            Due::Reopen => self.discovery.reopen_due(&mut self.turn, &mut self.news),
+            Due::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.updates),
+            Due::Reopen => self.discovery.reopen_due(&mut self.turn, &mut self.updates),
             other => panic!("{other:?}"),
         }
         (at, due)
@@ -83,7 +83,7 @@
         let mut fixture = Fixture::open(at, None);
         let _silent = fixture.answer(HEAD);
         assert_eq!(fixture.next().0, SILENCE);
-        assert!(fixture.news.is_empty(), "no failure is reported, and nothing waits for one");
+        assert!(fixture.updates.is_empty(), "no failure is reported, and nothing waits for one");
         let (at, due) = fixture.next();
         assert_eq!(due, Due::Reopen);
         reopened.push(at - SILENCE);
@@ -103,7 +103,7 @@
     for _ in 0..3 {
         assert_eq!(fixture.next().0, opened + SILENCE);
         assert!(fixture.discovery.calls.is_empty(), "no call before its place in the order");
-        assert!(fixture.news.is_empty(), "no failure is reported, and nothing waits for one");
+        assert!(fixture.updates.is_empty(), "no failure is reported, and nothing waits for one");
         assert_eq!(fixture.next(), (opened + SILENCE + 250_000, Due::Reopen));
         assert_eq!(fixture.discovery.calls.len(), 1, "one watch at a time");
         opened = fixture.turn.now;
@@ -122,10 +122,10 @@
     let id = *fixture.discovery.calls.last_key_value().expect("a call").0;
     drop(fixture.answer(HEAD));
     while fixture.discovery.calls.contains_key(&id) {
-        fixture.discovery.ready(&mut fixture.turn, id, &mut fixture.news);
+        fixture.discovery.ready(&mut fixture.turn, id, &mut fixture.updates);
     }
     assert_eq!(fixture.next(), (SILENCE + 120_000, Due::Reopen));
-    assert!(fixture.news.is_empty(), "the decision library is not involved");
+    assert!(fixture.updates.is_empty(), "the decision library is not involved");
 }
 
 /// The proxy counts as informed of a change this long after discovery had it and could be reached, whatever
@@ -170,13 +170,13 @@
     }
 
     fn decide(&mut self, event: Event) {
-        let Fixture { turn, discovery, news, .. } = &mut self.fixture;
+        let Fixture { turn, discovery, updates, .. } = &mut self.fixture;
         let mut actions = Vec::new();
         self.decisions.handle(turn.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Timer { tag, at } => turn.deadlines.set(at, Due::Module(tag)),
-                Action::Watch => discovery.ask(turn, Ask::Watch, news),
+                Action::Watch => discovery.ask(turn, Ask::Watch, updates),
                 other => panic!("{other:?}"),
             }
         }
@@ -184,9 +184,9 @@
 
     /// Reports each failure to the decision library.
     fn report_failures(&mut self) {
-        for news in std::mem::take(&mut self.fixture.news) {
-            assert_eq!(news.kind, ListKind::Failed);
-            self.decide(Event::Members { kind: news.kind, entries: Vec::new() });
+        for updates in std::mem::take(&mut self.fixture.updates) {
+            assert_eq!(updates.kind, ListKind::Failed);
+            self.decide(Event::Members { kind: updates.kind, entries: Vec::new() });
         }
     }
 
@@ -239,7 +239,7 @@
         let (call, _) = self.fixture.agent.accept().expect("a call");
         call.shutdown(std::net::Shutdown::Both).expect("it is open");
         while self.fixture.discovery.calls.contains_key(&id) {
-            self.fixture.discovery.ready(&mut self.fixture.turn, id, &mut self.fixture.news);
+            self.fixture.discovery.ready(&mut self.fixture.turn, id, &mut self.fixture.updates);
         }
         call
     }
@@ -278,8 +278,8 @@
             retry.held_open.push(retry.fixture.answer(HEAD));
             let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
             let addr = agent.local_addr().expect("an address");
-            let Fixture { turn, discovery, news, .. } = &mut retry.fixture;
-            discovery.move_to(turn, addr, SILENCE, news);
+            let Fixture { turn, discovery, updates, .. } = &mut retry.fixture;
+            discovery.move_to(turn, addr, SILENCE, updates);
             retry.fixture.agent = agent;
             retry.fail_call(Fault::NeverAnswers);
             let again = retry.fixture.turn.now;
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -107,7 +107,7 @@
     /// A request is not served, for this reason.
     pub(super) fn note_reason(&mut self, turn: &Turn, id: RequestId, refused: bool, reason: FinalReason) {
         let outcome = if refused { "refused" } else { "failed" };
-        *self.figures.reasons.entry((outcome, reason.name())).or_default() += 1;
+        *self.figures.unserved.entry((outcome, reason.name())).or_default() += 1;
         let attempts = self.requests.get(&id).map(|r| r.sends);
         debug!(turn.log, "not served"; "why" => reason.name(), "outcome" => outcome, "attempts" => attempts,
             "request" => id.0);
--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -34,7 +34,7 @@
     pub(super) effect: Effect,
     pub(super) group: GroupId,
     pub(super) of: Option<TenantId>,
-    /// Its place in [`Figures::tenants`](crate::figures::Figures::tenants), and whether it is beyond that tenant's share.
+    /// Its place in [`Metrics::tenants`](crate::figures::Metrics::tenants), and whether it is beyond that tenant's share.
     pub(super) tenant: usize,
     pub(super) beyond: bool,
     pub(super) deadline: Micros,
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -9,7 +9,7 @@
 use super::messages::{Answer, Ask, Order};
 use super::request::Request;
 use super::tally::Tally;
-use crate::figures::{Figures, OutcomeCounts, TenantCount};
+use crate::figures::{Metrics, OutcomeCounts, TenantCount};
 use crate::placing::Placing;
 use crate::site_loss;
 
@@ -25,8 +25,8 @@
     pub(super) telling: bool,
     pub(super) actions: Vec<Action>,
     pub(super) tally: Tally,
-    pub(super) figures: Figures,
-    /// Names of the tenants, as in [`Figures::tenants`]; none where the settings name none.
+    pub(super) figures: Metrics,
+    /// Names of the tenants, as in [`Metrics::tenants`]; none where the settings name none.
     pub(super) tenants: Vec<String>,
     /// What is done at the loss of a site, where operators have a plan for it. What it does is carried out by
     /// `crate::proxy::sites`.
@@ -49,10 +49,10 @@
     pub fn new(settings: Settings, tenants: Vec<String>, seed: u64, now: Micros) -> Self {
         Exchange {
             tenants,
-            figures: Figures {
+            figures: Metrics {
                 classes: vec![OutcomeCounts::default(); settings.classes.len()],
                 tenants: vec![TenantCount::default(); settings.tenants.len() + 1],
-                ..Figures::default()
+                ..Metrics::default()
             },
             slack: settings.rules.answer_slack,
             limits: AttemptLimits {
--- a/crates/gradeshunt/src/exchange/summary.rs
+++ b/crates/gradeshunt/src/exchange/summary.rs
@@ -3,15 +3,20 @@
 use slog::info;
 
 use super::state::Exchange;
-use crate::figures::{Figures, OutcomeCounts};
+use crate::figures::{Metrics, OutcomeCounts};
 use crate::turn::Turn;
 
 impl Exchange {
     /// The figures as they stand.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> Metrics {
         let t = self.balancer.targets();
         let concurrent = self.requests.values().filter(|r| !r.over).count() as u64;
-        Figures { concurrent, targets: t.listed as u64, avoided: t.avoided as u64, ..self.figures.clone() }
+        Metrics {
+            concurrent,
+            targets: t.listed as u64,
+            targets_avoided: t.avoided as u64,
+            ..self.figures.clone()
+        }
     }
 
     /// Sums up in the log what has come to pass since the last time.
--- a/crates/gradeshunt/src/figures.rs
+++ b/crates/gradeshunt/src/figures.rs
@@ -22,7 +22,7 @@
 
 /// Metrics for operators: counters since the start, and current values.
 #[derive(Clone, Default)]
-pub struct Figures {
+pub struct Metrics {
     pub classes: Vec<OutcomeCounts>,
     /// By tenant in the order of the settings; if there are any, a last entry for requests without a tenant's
     /// name.
@@ -43,7 +43,7 @@
     /// Retries, by the outcome of the attempt before.
     pub retries: BTreeMap<&'static str, u64>,
     /// Requests that were not served, by outcome and reason.
-    pub reasons: BTreeMap<(&'static str, &'static str), u64>,
+    pub unserved: BTreeMap<(&'static str, &'static str), u64>,
     /// Answers that were checked for being duplicates, by what the check found.
     pub answer_checks: BTreeMap<&'static str, u64>,
     /// Clients' connections that the proxy closed, by reason.
@@ -52,5 +52,5 @@
     pub concurrent: u64,
     /// Db hosts on the list, and those of them that get no new requests.
     pub targets: u64,
-    pub avoided: u64,
+    pub targets_avoided: u64,
 }
--- a/crates/gradeshunt/src/logging.rs
+++ b/crates/gradeshunt/src/logging.rs
@@ -52,7 +52,7 @@
     /// Ends the log of a process that has logged its last line: waits until that line is written, but no
     /// longer than `by` in case the reader does not read. Lines not written by then are lost, as they would
     /// be at SIGKILL.
-    pub fn end(self, by: Instant) {
+    pub fn wait_for_last_line(self, by: Instant) {
         // Lines are dropped when too many wait, and the last one may be among them.
         let _ = self.last.recv_timeout(by.saturating_duration_since(Instant::now()));
         std::mem::forget(self.guard);
--- a/crates/gradeshunt/src/loop_stats.rs
+++ b/crates/gradeshunt/src/loop_stats.rs
@@ -21,23 +21,23 @@
 /// one.
 #[derive(Clone, Copy, Debug, Default)]
 struct Longest {
-    now: Micros,
-    before: Micros,
-    ever: Micros,
+    current: Micros,
+    previous: Micros,
+    since_start: Micros,
 }
 
 impl Longest {
     fn add(&mut self, took: Micros) {
-        self.now = self.now.max(took);
-        self.ever = self.ever.max(took);
+        self.current = self.current.max(took);
+        self.since_start = self.since_start.max(took);
     }
 
     fn recent(&self) -> Micros {
-        self.now.max(self.before)
+        self.current.max(self.previous)
     }
 
     fn start_interval(&mut self) {
-        self.before = std::mem::take(&mut self.now);
+        self.previous = std::mem::take(&mut self.current);
     }
 }
 
@@ -147,9 +147,9 @@
 
     /// Logs a summary, and begins a new interval.
     pub fn log_summary(&mut self, log: &Logger) {
-        let worst = self.by_source.iter().max_by_key(|(_, l)| l.now);
-        info!(log, "loop"; "turns" => self.turns, "longest_us" => self.longest_turn.now, "latest_us" => self.latest_wake.now,
-            "most_by" => worst.map(|(name, _)| *name), "most_by_us" => worst.map(|(_, l)| l.now));
+        let worst = self.by_source.iter().max_by_key(|(_, l)| l.current);
+        info!(log, "loop"; "turns" => self.turns, "longest_us" => self.longest_turn.current, "latest_us" => self.latest_wake.current,
+            "most_by" => worst.map(|(name, _)| *name), "most_by_us" => worst.map(|(_, l)| l.current));
         self.longest_turn.start_interval();
         self.latest_wake.start_interval();
         self.by_source.values_mut().for_each(Longest::start_interval);
@@ -164,7 +164,7 @@
         );
         let mut gauge = |name: &str, label: &str, l: &Longest| {
             let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"late\"}} {}", l.recent());
-            let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"ever\"}} {}", l.ever);
+            let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"ever\"}} {}", l.since_start);
         };
         gauge("longest_turn", "", &self.longest_turn);
         gauge("latest_wake", "", &self.latest_wake);
--- a/crates/gradeshunt/src/loop_stats/tests.rs
+++ b/crates/gradeshunt/src/loop_stats/tests.rs
@@ -25,7 +25,10 @@
     assert_eq!(loop_stats.time_unread(), 0);
     loop_stats.begin(90_000, Some(80_000));
     assert_eq!(loop_stats.time_unread(), 10_000);
-    assert_eq!((loop_stats.turns, loop_stats.slow_turns, loop_stats.longest_turn.ever), (2, 1, 63_000));
+    assert_eq!(
+        (loop_stats.turns, loop_stats.slow_turns, loop_stats.longest_turn.since_start),
+        (2, 1, 63_000)
+    );
     let text = loop_stats.exposition();
     assert!(text.contains("app_loop_longest_source_us{source=\"db host\",span=\"late\"} 60000\n"), "{text}");
 }
@@ -37,7 +40,7 @@
     longest.add(7);
     longest.start_interval();
     longest.add(3);
-    assert_eq!((longest.recent(), longest.ever), (7, 7));
+    assert_eq!((longest.recent(), longest.since_start), (7, 7));
     longest.start_interval();
-    assert_eq!((longest.recent(), longest.ever), (3, 7));
+    assert_eq!((longest.recent(), longest.since_start), (3, 7));
 }
--- a/crates/gradeshunt/src/memory.rs
+++ b/crates/gradeshunt/src/memory.rs
@@ -3,12 +3,12 @@
 use std::cell::Cell;
 
 thread_local! {
-    static HELD: Cell<usize> = const { Cell::new(0) };
+    static TOTAL: Cell<usize> = const { Cell::new(0) };
 }
 
 /// Returns the bytes that all buffers hold.
 pub fn total_buffered() -> usize {
-    HELD.get()
+    TOTAL.get()
 }
 
 /// Bytes that one buffer holds; they count until it is dropped.
@@ -17,7 +17,7 @@
 
 impl BufferBytes {
     pub fn set(&mut self, bytes: usize) {
-        HELD.set(HELD.get() - self.0 + bytes);
+        TOTAL.set(TOTAL.get() - self.0 + bytes);
         self.0 = bytes;
     }
 }
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -106,8 +106,18 @@
     ) -> Result<Proxy, String> {
         let mut core = Core::new(&mut config, event_loop, log)?;
         let tenants = config.tenants();
-        let Config { name, listen, listen_fd, control, sockets, memory_bytes, silence, facts, rules, .. } =
-            config;
+        let Config {
+            name,
+            listen,
+            listen_fd,
+            control,
+            sockets,
+            memory_bytes,
+            watch_silence,
+            facts,
+            rules,
+            ..
+        } = config;
         let longest_deadline = facts.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let classes = facts.names.classes.clone();
         let connect_timeout = facts.connections.connect_timeout;
@@ -146,7 +156,7 @@
             unserved_listener: Some(listener),
             peer_socket: None,
             begin_by: Some(begin_by),
-            watch_silence: silence,
+            watch_silence,
             fatal_error: None,
             classes,
             tenants,
@@ -156,7 +166,7 @@
             must_leave: false,
             end_by: None,
         };
-        proxy.share_limits();
+        proxy.apply_limits();
         proxy.open_placement()?;
         proxy.check_sites();
         proxy.run_until_idle();
@@ -169,7 +179,7 @@
     fn begin(&mut self) {
         let Some(by) = self.begin_by.take() else { return };
         self.core.turn.deadlines.clear(by, Due::Begin);
-        self.share_limits();
+        self.apply_limits();
         self.core.start();
         self.run_until_idle();
         if self.shared.is_alone() {
@@ -188,8 +198,8 @@
         loop {
             if let Some(step) = self.core.step() {
                 self.carry_out_step(step);
-            } else if let Some(task) = self.shared.next(self.core.turn.now) {
-                if !self.worker.ask(task) {
+            } else if let Some(task) = self.shared.next_task(self.core.turn.now) {
+                if !self.worker.submit(task) {
                     warn!(self.core.turn.log, "file work dropped: its thread has ended or is too far behind");
                 }
             } else {
@@ -287,7 +297,7 @@
                 // The ping that announces completed work may have failed.
                 self.collect_file_work();
                 let turn = &self.core.turn;
-                let complaint = self.shared.look(turn.now);
+                let complaint = self.shared.request_scan(turn.now);
                 complaint.into_iter().for_each(|c| self.apply_change(c));
             }
             Due::Begin => self.begin(),
--- a/crates/gradeshunt/src/proxy/changes.rs
+++ b/crates/gradeshunt/src/proxy/changes.rs
@@ -12,7 +12,7 @@
     /// Takes over the work that the thread for file work has completed.
     pub(super) fn collect_file_work(&mut self) {
         while let Some(done) = self.worker.done() {
-            let changes = self.shared.done(self.core.turn.now, done);
+            let changes = self.shared.complete(self.core.turn.now, done);
             changes.into_iter().for_each(|c| self.apply_change(c));
         }
     }
@@ -34,7 +34,7 @@
                     let duty = self.shared.other_process().map(ProcessState::name);
                     info!(self.core.turn.log, "other process of this proxy"; "duty" => duty);
                 }
-                self.share_limits();
+                self.apply_limits();
                 self.hand_over();
             }
             Change::HoldOutStored { caller, out, stored } => {
@@ -61,7 +61,7 @@
                 self.frontend.route_by(config.rules);
                 self.replace_sites(config.sites);
                 self.replace_placement(config.placement);
-                self.core.move_discovery(config.discovery, config.silence);
+                self.core.move_discovery(config.discovery, config.watch_silence);
             }
             Err(why) => {
                 warn!(self.core.turn.log, "configuration kept, the new one can't be used";
--- a/crates/gradeshunt/src/proxy/lifetime.rs
+++ b/crates/gradeshunt/src/proxy/lifetime.rs
@@ -58,7 +58,7 @@
 
 impl Proxy {
     /// Applies this process's part of the proxy's limits: two processes share them while both live.
-    pub(super) fn share_limits(&mut self) {
+    pub(super) fn apply_limits(&mut self) {
         let processes = 1 + usize::from(!self.shared.is_alone());
         let sockets = (self.sockets / processes).saturating_sub(RESERVED_SOCKETS + OPERATOR_SOCKETS);
         // A third of the descriptors for db hosts: an attempt needs one only while it runs, a client for as
--- a/crates/gradeshunt/src/run.rs
+++ b/crates/gradeshunt/src/run.rs
@@ -51,7 +51,7 @@
     let log = Log::open(format, level, &config.name);
     let proxy = Proxy::new(config, file, cycle.event_loop(), log.logger.clone())?;
     let end_by = run_loop(cycle, proxy)?;
-    log.end(end_by);
+    log.wait_for_last_line(end_by);
     Ok(())
 }
 
--- a/crates/gradeshunt/src/shared/files.rs
+++ b/crates/gradeshunt/src/shared/files.rs
@@ -103,17 +103,17 @@
     }
 
     fn scan(&mut self) -> io::Result<View> {
-        let (mut held_out, mut other) = (BTreeSet::new(), None);
+        let (mut held_out, mut other_process) = (BTreeSet::new(), None);
         for file in fs::read_dir(&self.path)? {
             let name = file?.file_name();
             let name = name.to_str().unwrap_or_default();
             held_out.extend(name.strip_prefix("out-").and_then(unhex));
             let process = name.strip_prefix(PROCESS_FILE_PREFIX).and_then(|n| n.parse::<usize>().ok());
             if process.is_some_and(|n| n != self.number) {
-                other = other.max(read_state(&self.path.join(name))?);
+                other_process = other_process.max(read_state(&self.path.join(name))?);
             }
         }
-        Ok(View { held_out, other })
+        Ok(View { held_out, other_process })
     }
 }
 
--- a/crates/gradeshunt/src/shared/files/tests.rs
+++ b/crates/gradeshunt/src/shared/files/tests.rs
@@ -17,11 +17,15 @@
     let mut first = Folder::open(&tmp, "n0").expect("it opens");
     first.publish(ProcessState::Serving).expect("it is written");
     let mut watcher = Folder::open(&tmp, "n0").expect("a second process opens it");
-    assert_eq!(watcher.scan().expect("the folder is readable").other, Some(ProcessState::Serving));
+    assert_eq!(watcher.scan().expect("the folder is readable").other_process, Some(ProcessState::Serving));
     drop(first);
-    assert_eq!(watcher.scan().expect("the folder is readable").other, None, "a lock ends with its holder");
+    assert_eq!(
+        watcher.scan().expect("the folder is readable").other_process,
+        None,
+        "a lock ends with its holder"
+    );
     let _third = Folder::open(&tmp, "n0").expect("it takes over the first one's file");
-    assert_eq!(watcher.scan().expect("the folder is readable").other, Some(ProcessState::Starting));
+    assert_eq!(watcher.scan().expect("the folder is readable").other_process, Some(ProcessState::Starting));
     fs::remove_dir_all(tmp).expect("it can be removed");
 }
 
--- a/crates/gradeshunt/src/shared/mod.rs
+++ b/crates/gradeshunt/src/shared/mod.rs
@@ -50,7 +50,7 @@
     /// Db hosts that an operator holds out.
     pub held_out: BTreeSet<String>,
     /// State of the other process of this proxy, if one is alive.
-    pub other: Option<ProcessState>,
+    pub other_process: Option<ProcessState>,
 }
 
 /// File work to be done, in order.
@@ -129,7 +129,7 @@
         };
     }
 
-    fn take(&mut self) -> bool {
+    fn start(&mut self) -> bool {
         let wanted = *self == Work::Wanted;
         if wanted {
             *self = Work::Running { again: false };
@@ -137,7 +137,7 @@
         wanted
     }
 
-    fn done(&mut self) {
+    fn finish(&mut self) {
         *self = if *self == (Work::Running { again: true }) { Work::Wanted } else { Work::Idle };
     }
 }
@@ -195,26 +195,26 @@
 
     /// State of the other process, as of the latest scan.
     pub fn other_process(&self) -> Option<ProcessState> {
-        self.view.other
+        self.view.other_process
     }
 
     /// Whether no other process of this proxy is known. Before its first scan a process must assume that
     /// there is another.
     pub fn is_alone(&self) -> bool {
-        self.is_scanned && self.view.other.is_none()
+        self.is_scanned && self.view.other_process.is_none()
     }
 
     /// Whether another process serves, as shown by a scan that began after this process was told to leave.
     pub fn has_successor(&self) -> bool {
         self.first_leaving_scan.is_some_and(|from| self.view_scan >= from)
-            && self.view.other == Some(ProcessState::Serving)
+            && self.view.other_process == Some(ProcessState::Serving)
     }
 
     // ---- Requested work ----
 
     /// Requests a scan, and retries what failed for a transient reason. Returns a complaint if a scan has
     /// been under way for too long.
-    pub fn look(&mut self, now: Micros) -> Option<Change> {
+    pub fn request_scan(&mut self, now: Micros) -> Option<Change> {
         if std::mem::take(&mut self.publish_again) {
             self.publish.request();
         }
@@ -260,26 +260,26 @@
     }
 
     /// Returns the next work to do. What other processes wait for is written first.
-    pub fn next(&mut self, now: Micros) -> Option<Task> {
-        if self.publish.take() {
+    pub fn next_task(&mut self, now: Micros) -> Option<Task> {
+        if self.publish.start() {
             return Some(Task::Publish(self.state));
         }
         if !self.hold_outs.is_empty() {
             self.hold_outs_running += 1;
             return Some(self.hold_outs.remove(0));
         }
-        if self.scan.take() {
+        if self.scan.start() {
             self.scans += 1;
             self.scan_started = now;
             return Some(Task::Scan);
         }
-        self.reread.take().then_some(Task::Reread)
+        self.reread.start().then_some(Task::Reread)
     }
 
     // ---- Completed work ----
 
     /// Takes over the result of file work.
-    pub fn done(&mut self, now: Micros, done: Done) -> Vec<Change> {
+    pub fn complete(&mut self, now: Micros, done: Done) -> Vec<Change> {
         match done {
             Done::Opened(Ok(())) => Vec::new(),
             Done::Opened(Err(failure)) if failure.is_transient => {
@@ -289,14 +289,14 @@
                 vec![Change::Unusable(format!("cannot use $TMPDIR: {}", failure.why))]
             }
             Done::Scanned(view) => {
-                self.scan.done();
+                self.scan.finish();
                 match view {
                     Ok(view) => self.apply_view(view),
                     Err(why) => self.complain(now, "cannot read $TMPDIR", why).into_iter().collect(),
                 }
             }
             Done::Published(result) => {
-                self.publish.done();
+                self.publish.finish();
                 let Err(why) = result else { return Vec::new() };
                 self.publish_again = true;
                 self.complain(now, "cannot publish the state of this process", why).into_iter().collect()
@@ -312,7 +312,7 @@
                 hold_out.into_iter().chain([Change::HoldOutStored { caller, out, stored }]).collect()
             }
             Done::Reread(config) => {
-                self.reread.done();
+                self.reread.finish();
                 // A SIGHUP counts until the configuration has been read.
                 if config.as_ref().is_err_and(|e| e.is_transient) {
                     self.reread_at = Some(now + REREAD_PAUSE);
@@ -327,14 +327,15 @@
         let hold_outs =
             hold_outs.map(|id| Change::HoldOut { id: id.clone(), out: view.held_out.contains(id) });
         let mut changes: Vec<_> = hold_outs.collect();
-        let (other, first) = (view.other != self.view.other, !std::mem::replace(&mut self.is_scanned, true));
+        let (is_new, first) =
+            (view.other_process != self.view.other_process, !std::mem::replace(&mut self.is_scanned, true));
         (self.view, self.view_scan) = (view, self.scans);
         if first {
             changes.push(Change::FirstScan);
         }
         // After SIGTERM each scan may be the first that shows a successor, even if nothing else changed.
-        if other || first || self.first_leaving_scan.is_some() {
-            changes.push(Change::OtherProcess { is_new: other });
+        if is_new || first || self.first_leaving_scan.is_some() {
+            changes.push(Change::OtherProcess { is_new });
         }
         changes
     }
--- a/crates/gradeshunt/src/shared/tests.rs
+++ b/crates/gradeshunt/src/shared/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn scanned(other: Option<ProcessState>, held_out: &[&str]) -> Done {
+fn scanned(other_process: Option<ProcessState>, held_out: &[&str]) -> Done {
     let held_out = held_out.iter().map(|s| s.to_string()).collect();
-    Done::Scanned(Ok(View { held_out, other }))
+    Done::Scanned(Ok(View { held_out, other_process }))
 }
 
 fn others(changes: &[Change]) -> usize {
@@ -16,22 +16,22 @@
 #[test]
 fn blocked_disk_queues_each_kind_of_work_once() {
     let mut shared = Shared::new();
-    assert_eq!(shared.next(0), Some(Task::Scan));
+    assert_eq!(shared.next_task(0), Some(Task::Scan));
     let mut complaints = 0;
     for n in 1..=100 {
-        complaints += usize::from(shared.look(n * 50_000).is_some());
-        assert_eq!(shared.next(n * 50_000), None, "a scan is already under way");
+        complaints += usize::from(shared.request_scan(n * 50_000).is_some());
+        assert_eq!(shared.next_task(n * 50_000), None, "a scan is already under way");
     }
     assert_eq!(complaints, 1, "one complaint in 10 s");
     shared.change_state(ProcessState::Serving);
-    assert_eq!(shared.next(0), Some(Task::Publish(ProcessState::Serving)));
+    assert_eq!(shared.next_task(0), Some(Task::Publish(ProcessState::Serving)));
     shared.change_state(ProcessState::Starting);
     shared.change_state(ProcessState::Leaving);
-    assert_eq!(shared.next(0), None, "the first state is not written yet");
-    shared.done(0, Done::Published(Ok(())));
-    assert_eq!(shared.next(0), Some(Task::Publish(ProcessState::Leaving)));
+    assert_eq!(shared.next_task(0), None, "the first state is not written yet");
+    shared.complete(0, Done::Published(Ok(())));
+    assert_eq!(shared.next_task(0), Some(Task::Publish(ProcessState::Leaving)));
     assert_eq!((0..100).filter(|n| shared.hold_out(CallerId(*n), "s-1", true)).count(), MAX_HOLD_OUTS);
-    assert_eq!((0..100).filter(|_| shared.next(0).is_some()).count(), MAX_HOLD_OUTS);
+    assert_eq!((0..100).filter(|_| shared.next_task(0).is_some()).count(), MAX_HOLD_OUTS);
 }
 
 /// Guards connections that wait to be accepted: a process leaves the listening socket only to a successor
@@ -40,22 +40,22 @@
 #[test]
 fn only_a_scan_begun_after_sigterm_shows_a_successor() {
     let mut shared = Shared::new();
-    assert_eq!(shared.next(0), Some(Task::Scan));
-    shared.done(0, scanned(Some(ProcessState::Serving), &[]));
-    shared.look(0);
-    assert_eq!(shared.next(0), Some(Task::Scan));
+    assert_eq!(shared.next_task(0), Some(Task::Scan));
+    shared.complete(0, scanned(Some(ProcessState::Serving), &[]));
+    shared.request_scan(0);
+    assert_eq!(shared.next_task(0), Some(Task::Scan));
     shared.change_state(ProcessState::Leaving);
     assert!(!shared.has_successor());
-    assert_eq!(others(&shared.done(0, scanned(Some(ProcessState::Serving), &[]))), 1);
+    assert_eq!(others(&shared.complete(0, scanned(Some(ProcessState::Serving), &[]))), 1);
     assert!(!shared.has_successor(), "that scan began before SIGTERM");
-    assert_eq!(shared.next(0), Some(Task::Publish(ProcessState::Leaving)));
-    assert_eq!(shared.next(0), Some(Task::Scan));
+    assert_eq!(shared.next_task(0), Some(Task::Publish(ProcessState::Leaving)));
+    assert_eq!(shared.next_task(0), Some(Task::Scan));
     assert!(!shared.has_successor());
-    assert_eq!(others(&shared.done(0, scanned(Some(ProcessState::Serving), &[]))), 1);
+    assert_eq!(others(&shared.complete(0, scanned(Some(ProcessState::Serving), &[]))), 1);
     assert!(shared.has_successor());
-    shared.look(0);
-    shared.next(0);
-    shared.done(0, scanned(Some(ProcessState::Starting), &[]));
+    shared.request_scan(0);
+    shared.next_task(0);
+    shared.complete(0, scanned(Some(ProcessState::Starting), &[]));
     assert!(!shared.has_successor());
 }
 
@@ -65,23 +65,23 @@
 fn hold_out_is_confirmed_once_it_is_stored() {
     let mut shared = Shared::new();
     assert!(!shared.is_alone(), "nothing has been read yet");
-    let changes = shared.done(0, scanned(None, &["s-1"]));
+    let changes = shared.complete(0, scanned(None, &["s-1"]));
     assert!(matches!(&changes[0], Change::HoldOut { id, out: true } if id == "s-1"));
     assert!(matches!(&changes[1], Change::FirstScan) && shared.is_alone());
     assert!(shared.hold_out(CallerId(1), "s-2", true));
     assert!(!shared.is_held_out("s-2"), "it is not stored yet");
     let stored = |stored| Done::HeldOut { caller: CallerId(1), id: "s-2".to_owned(), out: true, stored };
-    let changes = shared.done(0, stored(Err("full".to_owned())));
+    let changes = shared.complete(0, stored(Err("full".to_owned())));
     assert!(
         matches!(&changes[..], [Change::HoldOutStored { stored: Err(_), .. }]) && !shared.is_held_out("s-2")
     );
-    let changes = shared.done(0, stored(Ok(())));
+    let changes = shared.complete(0, stored(Ok(())));
     assert!(matches!(
         &changes[..],
         [Change::HoldOut { out: true, .. }, Change::HoldOutStored { stored: Ok(()), .. }]
     ));
     assert!(shared.is_held_out("s-2"));
-    assert!(shared.done(0, scanned(None, &["s-1", "s-2"])).is_empty(), "the scan shows nothing new");
+    assert!(shared.complete(0, scanned(None, &["s-1", "s-2"])).is_empty(), "the scan shows nothing new");
 }
 
 /// Guards work that fails while the disk returns errors: a state that could not be published is published
@@ -90,21 +90,21 @@
 #[test]
 fn transient_failures_are_retried() {
     let mut shared = Shared::new();
-    assert_eq!(shared.next(0), Some(Task::Scan));
+    assert_eq!(shared.next_task(0), Some(Task::Scan));
     shared.change_state(ProcessState::Serving);
-    assert_eq!(shared.next(0), Some(Task::Publish(ProcessState::Serving)));
-    shared.done(0, Done::Published(Err("no space".to_owned())));
-    assert_eq!(shared.next(0), None, "not before the next scan is due");
-    shared.look(50_000);
-    assert_eq!(shared.next(50_000), Some(Task::Publish(ProcessState::Serving)));
-    shared.done(50_000, Done::Published(Ok(())));
+    assert_eq!(shared.next_task(0), Some(Task::Publish(ProcessState::Serving)));
+    shared.complete(0, Done::Published(Err("no space".to_owned())));
+    assert_eq!(shared.next_task(0), None, "not before the next scan is due");
+    shared.request_scan(50_000);
+    assert_eq!(shared.next_task(50_000), Some(Task::Publish(ProcessState::Serving)));
+    shared.complete(50_000, Done::Published(Ok(())));
     for (is_transient, again) in [(true, Some(Task::Reread)), (false, None)] {
         shared.reread();
-        assert_eq!(shared.next(50_000), Some(Task::Reread));
+        assert_eq!(shared.next_task(50_000), Some(Task::Reread));
         let error = ConfigError { is_transient, ..ConfigError::from("why".to_owned()) };
-        shared.done(50_000, Done::Reread(Err(error)));
-        shared.look(50_000 + REREAD_PAUSE);
-        assert_eq!(shared.next(50_000 + REREAD_PAUSE), again);
-        shared.done(50_000, Done::Reread(Err(ConfigError::from("why".to_owned()))));
+        shared.complete(50_000, Done::Reread(Err(error)));
+        shared.request_scan(50_000 + REREAD_PAUSE);
+        assert_eq!(shared.next_task(50_000 + REREAD_PAUSE), again);
+        shared.complete(50_000, Done::Reread(Err(ConfigError::from("why".to_owned()))));
     }
 }
--- a/crates/gradeshunt/src/shared/worker.rs
+++ b/crates/gradeshunt/src/shared/worker.rs
@@ -77,7 +77,7 @@
     /// Queues a task without blocking. Returns false, and drops the task, if the queue is full or the thread
     /// has ended.
     #[must_use]
-    pub fn ask(&self, task: Task) -> bool {
+    pub fn submit(&self, task: Task) -> bool {
         self.tasks.try_send(task).is_ok()
     }
 
--- a/crates/gradeshunt/src/shared/worker/tests.rs
+++ b/crates/gradeshunt/src/shared/worker/tests.rs
@@ -36,9 +36,9 @@
     };
     let worker = Worker::start(open, None, ping).expect("a thread");
     let hold_out = |n| Task::HoldOut { caller: CallerId(n), id: format!("s-{n}"), out: true };
-    assert!(worker.ask(Task::Scan) && (0..16).all(|n| worker.ask(hold_out(n))));
+    assert!(worker.submit(Task::Scan) && (0..16).all(|n| worker.submit(hold_out(n))));
     assert!(
-        (0..QUEUE_LENGTH).any(|_| !worker.ask(Task::Scan)),
+        (0..QUEUE_LENGTH).any(|_| !worker.submit(Task::Scan)),
         "the queue is bounded, and a full one does not block"
     );
     assert!(matches!(worker.done.recv(), Ok(Done::Opened(Ok(())))));
