--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! The module's behaviour, event by event, without any bench.
+//! Tests of the balancer's decisions, one event at a time, on a simulated clock.
 
 mod common;
 
@@ -14,7 +14,11 @@
     assert_eq!(d.sent(1), vec![PRIMARY]);
     d.report(REPLICA, 1_000_000, true);
     d.end((1, 0, PRIMARY), Ending::Miss, Some(Note { position: Some(900_000), primary: false }), false);
-    assert_eq!(d.sent(1), vec![PRIMARY, REPLICA], "the later claim holds and no time is lost");
+    assert_eq!(
+        d.sent(1),
+        vec![PRIMARY, REPLICA],
+        "the member that claimed the role last gets the write at once"
+    );
 }
 
 #[test]
@@ -38,13 +42,15 @@
         d.at(wait);
         d.end((1, 0, PRIMARY), Ending::Error, Some(Note { position: Some(0), primary: true }), false);
         assert_eq!(d.sent(1).len(), sends, "after {wait}");
-        assert_eq!(d.refusals(1), 0, "it may have run: no refusal");
+        assert_eq!(d.refusals(1), 0, "the write may have run, so it must not be refused");
     }
 }
 
 #[test]
 fn window_counts_from_the_first_attempt_that_was_copied() {
-    // Guards against a miss that comes in late: as the copy was sent, the first attempt was in doubt.
+    // Guards against a window that restarts when the first attempt turns out, after the copy was sent, not to have run:
+    // the window of a keyed write still counts from the first attempt, because the copy was sent while that attempt
+    // may have run.
     for (last, sends) in [(1_900_000, 3), (2_100_000, 2)] {
         let mut s = settings(vec![WRITE]);
         s.classes[0].deadline = 3_000_000;
@@ -53,7 +59,7 @@
         d.request(1, WRITE, Some(7));
         d.report(REPLICA, 1_000, true);
         d.run_to(700_000);
-        assert_eq!(d.sent(1), vec![PRIMARY, REPLICA], "a silent primary's write is copied");
+        assert_eq!(d.sent(1), vec![PRIMARY, REPLICA], "a write to a silent primary is copied");
         d.end((1, 0, PRIMARY), Ending::Miss, Some(Note { position: Some(0), primary: false }), false);
         d.at(last);
         d.end((1, 1, REPLICA), Ending::Error, Some(Note { position: Some(0), primary: true }), false);
@@ -63,7 +69,8 @@
 
 #[test]
 fn repeat_counts_from_its_first_try() {
-    // Guards against work for answers that come after their aim, and earn nothing.
+    // Guards against work for answers that come too late to be worth anything: the client's repeat has to be answered
+    // within the class's target time from its first try.
     let mut d = Driver::new(settings(vec![ANY]));
     d.request(1, ANY, None);
     d.repeat(2, ANY, 500_000);
@@ -72,7 +79,7 @@
     assert_eq!(
         [1, 2, 3].map(|id| d.finals(id)),
         [0, 1, 0],
-        "the second began 400 ms ago: it is refused at once"
+        "the client first sent request 2 400 ms ago, so it is refused at once"
     );
 }
 
@@ -88,7 +95,7 @@
         d.run_to(d.now() + 20_000);
         d.ok(write, Some(d.now()), true);
     }
-    assert_eq!(d.sent(1), vec![PRIMARY, PRIMARY], "it goes out once more, inside its window");
+    assert_eq!(d.sent(1), vec![PRIMARY, PRIMARY], "the write is sent once more within its window");
     assert_eq!(d.finals(1), 0);
 }
 
@@ -99,13 +106,13 @@
         d.request_in(id, (id % 6) as usize, GroupId(9));
     }
     d.run_to(1_000_000);
-    assert!((0..60).all(|id| d.finals(id) == 1), "an unknown group, and no list at all");
+    assert!((0..60).all(|id| d.finals(id) == 1), "an unknown group before any member list");
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     for id in 100..160 {
         d.request_in(id, (id % 6) as usize, GROUP);
     }
     d.run_to(3_000_000);
-    assert!((100..160).all(|id| d.finals(id) == 1), "members that never answer");
+    assert!((100..160).all(|id| d.finals(id) == 1), "members never answer");
 }
 
 #[test]
@@ -114,22 +121,23 @@
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.request(1, UNSAFE, Some(7));
     d.run_to(1_000_000);
-    assert_eq!((d.refusals(1), d.finals(1)), (0, 1), "it was out when time ran out");
+    assert_eq!((d.refusals(1), d.finals(1)), (0, 1), "an attempt was unanswered at the deadline");
     d.list(ListKind::Full, vec![]);
     d.request(2, UNSAFE, Some(7));
     d.run_to(3_000_000);
-    assert_eq!((d.refusals(2), d.finals(2)), (1, 1), "it was never sent");
+    assert_eq!((d.refusals(2), d.finals(2)), (1, 1), "the write was never sent");
 }
 
 #[test]
 fn write_that_no_member_takes_is_refused_before_half_its_time() {
-    // Guards against holding a request in vain: told early, its client can still come back in time.
+    // Guards against holding a request until its deadline for nothing: after an early refusal its client can still
+    // repeat it in time.
     let mut settings = settings(vec![WRITE]);
     settings.classes[0].late_worth = 0.3;
     let mut d = Driver::new(settings);
     d.request(1, WRITE, Some(1));
     d.run_to(300_000);
-    assert_eq!(d.finals(1), 0, "held while there is hope");
+    assert_eq!(d.finals(1), 0, "held while a member may still turn up");
     d.run_to(449_000);
     assert_eq!((d.refusals(1), d.finals(1)), (1, 1));
 }
@@ -149,13 +157,17 @@
         d.run_to(round * 20_000 + 19_000);
     }
     let late: Vec<_> = (id - 10..id).map(|i| d.sent(i)[0]).collect();
-    assert_eq!(late, vec![THIRD; 10], "nothing new goes to the silent one");
-    assert!((0..id).any(|i| d.sent(i) == vec![REPLICA, THIRD]), "a read it sat on was copied");
+    assert_eq!(late, vec![THIRD; 10], "the silent member gets no new requests");
+    assert!(
+        (0..id).any(|i| d.sent(i) == vec![REPLICA, THIRD]),
+        "a read that the silent member had not answered was copied"
+    );
 }
 
 #[test]
 fn lone_suspect_is_tried_again() {
-    // Guards against a group whose only member left was suspected and never tested again.
+    // Guards against a group that stays unserved because its only remaining member was suspected once and never tried
+    // again.
     let mut d = Driver::new(settings(vec![FRESH]));
     d.members(&[PRIMARY], PRIMARY);
     d.request(1, FRESH, None);
@@ -167,12 +179,13 @@
         d.run_to(900_000 + (id as i64 - 9) * 30_000);
         d.members_up(PRIMARY);
     }
-    assert!(d.sends_to(PRIMARY) > before, "a safe read tries it");
+    assert!(d.sends_to(PRIMARY) > before, "a safe read is sent to the suspected member");
 }
 
 #[test]
 fn cold_member_gets_its_share_of_what_warm_ones_bear_over_the_whole_fleet() {
-    // Guards against least windows that are small for one driver and too much times the fleet.
+    // Guards against a smallest window per driver that is harmless for one driver and, multiplied by the number of
+    // drivers, overloads a cold member.
     let taken = |seed| {
         let mut s = settings(vec![ANY]);
         s.fleet = 250;
@@ -193,16 +206,16 @@
         (cold, d.sends_to(REPLICA))
     };
     let all: Vec<_> = (0..100).map(taken).collect();
-    // In its first 1.5 s the 100 drivers together send 1,500 reads: two warm members bear half each, and it
-    // may get a fifth to a third of that, times 2.5, before it falls.
+    // In the cold member's first 1.5 s the 100 drivers together send 1,500 reads, half of them to each of two warm
+    // members. The cold one may get a fifth to a third of such a half, times 2.5, before it is overloaded.
     let first: usize = all.iter().map(|t| t.0).sum();
     assert!((30..375).contains(&first), "{first}");
-    assert!(all.iter().all(|t| t.1 >= 5), "it warms up and takes its part");
+    assert!(all.iter().all(|t| t.1 >= 5), "the member warms up and takes its part of the reads");
 }
 
 #[test]
 fn young_driver_gives_a_cold_member_what_an_old_one_does() {
-    // Guards against a memory that counts the time before the driver's own start as idle: after an upgrade cold
+    // Guards against load averages that count the time before the driver's own start as idle: after an upgrade cold
     // members would get next to nothing for many seconds.
     let taken = |age: u64| {
         let mut d = Driver::new(settings(vec![ANY]));
@@ -229,8 +242,9 @@
 
 #[test]
 fn nearly_warm_member_takes_nearly_what_a_warm_one_does() {
-    // Guards against the bound on cold members at the end of their warm-up. What members bear is seen by usual answer
-    // times, and what they hold is a multiple of that: one answer in four takes ten times as long.
+    // Guards against a limit for cold members that still throttles a member at the end of its warm-up. The capacity of
+    // members is estimated from typical answer times. Here one answer in four takes ten times as long, so members hold a
+    // multiple of the attempts that this estimate expects.
     let mut s = settings(vec![ANY]);
     s.allowed.second_copies = false;
     let mut d = Driver::new(s);
@@ -264,13 +278,13 @@
     d.handle(Event::Timer { tag: TimerTag(99) });
     d.position(MemberId(55), 12);
     d.request_in(1, 40, GROUP);
-    assert_eq!(d.finals(1), 1, "a class that the settings don't know is failed at once");
+    assert_eq!(d.finals(1), 1, "a request of a class that the settings lack fails at once");
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.request(2, ANY, None);
     d.end((2, 3, REPLICA), Ending::Ok, None, false);
     d.ok((2, 0, REPLICA), None, false);
     d.ok((2, 0, REPLICA), None, false);
-    assert_eq!(d.finals(2), 0, "the answer itself was final");
+    assert_eq!(d.finals(2), 0, "the member's answer was final, and the balancer adds none");
 }
 
 #[test]
@@ -294,14 +308,15 @@
 
 #[test]
 fn suspicions_in_a_row_do_not_thin_a_member_to_nothing() {
-    // Guards against a primary that is only crowded: each recovery used to halve its window, without end.
+    // Guards against starving a primary that is merely overloaded: each recovery used to halve its window, without a
+    // lower limit.
     let mut s = settings(vec![FRESH]);
     s.fleet = 250;
     let mut d = Driver::new(s);
     d.members(&[PRIMARY], PRIMARY);
     let mut id = 0;
     for _ in 0..12 {
-        // Refused once, and soon back: a member that is up and takes no more connections.
+        // A member that refuses a connection and soon answers a probe is up and accepts no more connections.
         d.request(id, FRESH, None);
         d.end((id, 0, PRIMARY), Ending::ConnectFailed, None, false);
         d.run_to(d.now() + 5_000_000);
@@ -313,12 +328,13 @@
     assert_eq!(d.sent(id), vec![PRIMARY]);
     d.ok((id, 0, PRIMARY), None, true);
     d.request(id + 1, FRESH, None);
-    assert_eq!(d.sent(id + 1), vec![PRIMARY], "it has room at once");
+    assert_eq!(d.sent(id + 1), vec![PRIMARY], "the member's window has room at once");
 }
 
 #[test]
 fn member_out_of_reach_is_not_taken_for_a_restarted_one() {
-    // Guards against treating members behind a mended cut as cold ones for many seconds.
+    // Guards against treating members as cold for many seconds after a network partition has ended: they were out of
+    // reach (connects time out), not restarted (connects are refused).
     for (elapsed, warm) in [(1_000, false), (250_000, true)] {
         let mut d = Driver::new(settings(vec![FRESH]));
         d.members(&[PRIMARY], PRIMARY);
@@ -334,7 +350,7 @@
 
 #[test]
 fn failed_probe_convicts_nobody() {
-    // Guards against probes that fail while the members serve.
+    // Guards against suspecting members whose probes fail while they serve requests.
     let mut d = Driver::new(settings(vec![ANY]));
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     for id in 0..20 {
@@ -352,7 +368,7 @@
 
 #[test]
 fn own_stall_is_no_silence_of_the_members() {
-    // Guards against a driver that stands still and then takes all its members for silent.
+    // Guards against a driver that stalls and then takes all its members for silent.
     let sent_after = |stall: bool| {
         let mut d = Driver::new(settings(vec![ANY]));
         d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
@@ -371,13 +387,13 @@
         }
         (0..8).map(|id| d.sent(id).len()).sum::<usize>()
     };
-    assert!(sent_after(false) > 8, "without a stall what waits on a silent member is copied");
+    assert!(sent_after(false) > 8, "without a stall, requests at a silent member are copied");
     assert_eq!(sent_after(true), 8);
 }
 
 #[test]
 fn idle_driver_asks_for_no_timer_and_no_probe() {
-    // Guards against rounds and probes that cost a large fleet more than its requests.
+    // Guards against timers and probes of idle drivers, which cost a large fleet more than its requests do.
     let mut d = Driver::new(settings(vec![BOUNDED]));
     let members: Vec<_> = (0..80).map(MemberId).collect();
     d.members(&members, PRIMARY);
@@ -395,17 +411,18 @@
     d.request(1, WRITE, Some(7));
     d.end((1, 0, PRIMARY), Ending::ConnectFailed, None, false);
     let mut tried = d.sent(1);
-    assert_eq!(tried.len(), 2, "a replica is tried at once");
+    assert_eq!(tried.len(), 2, "one replica is tried at once");
     d.end((1, 1, tried[1]), Ending::Miss, Some(Note { position: Some(0), primary: false }), false);
     tried = d.sent(1);
-    assert_eq!(tried.len(), 3, "and the other one");
+    assert_eq!(tried.len(), 3, "then the other replica");
     d.end((1, 2, tried[2]), Ending::Miss, Some(Note { position: Some(0), primary: false }), false);
-    assert_eq!(d.sent(1).len(), 3, "each is asked again only later");
+    assert_eq!(d.sent(1).len(), 3, "no member is tried again right away");
 }
 
 #[test]
 fn idle_connections_are_closed_where_members_refuse_and_live() {
-    // Guards against connection tables that are full of idle connections of a large fleet.
+    // Guards against db hosts that refuse connections because the idle connections of a large fleet fill their
+    // connection tables.
     let mut d = Driver::new(settings(vec![ANY]));
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     for id in 11..14 {
@@ -414,10 +431,10 @@
         d.at(d.now() + 100_000);
         d.members_up(REPLICA);
         let closes = d.log.iter().filter(|(_, a)| matches!(a, Action::Close { .. })).count();
-        assert_eq!(closes, 0, "a network may reset one or two");
+        assert_eq!(closes, 0, "a network may reset a few connections");
     }
     d.request(2, ANY, None);
-    assert_eq!(d.sent(2), vec![REPLICA], "it lives, and is not cold");
+    assert_eq!(d.sent(2), vec![REPLICA], "the member is up, and is not treated as cold");
     d.ok((2, 0, REPLICA), None, false);
     let closes = d.log.iter().filter(|(_, a)| *a == Action::Close { member: REPLICA }).count();
     assert_eq!(closes, 1);
@@ -425,26 +442,30 @@
     d.end((3, 0, REPLICA), Ending::ConnectFailed, None, false);
     d.at(d.now() + 200_000);
     d.request(4, ANY, None);
-    assert_eq!(d.sent(4), vec![REPLICA], "one refused now convicts nobody");
+    assert_eq!(d.sent(4), vec![REPLICA], "one refused connection does not make the member suspected");
 }
 
 #[test]
 fn lone_broken_connection_of_a_member_heard_otherwise_convicts_nobody() {
-    // Guards writes against waiting for a primary that serves on: networks reset connections one by one.
+    // Guards against writes that wait although the primary still serves: networks reset single connections.
     let mut d = Driver::new(settings(vec![WRITE]));
     d.members(&[PRIMARY], PRIMARY);
     let (first, second, third) = (d.write(1, 1), d.write(2, 2), d.write(3, 3));
     d.ok(first, Some(1_000), true);
     d.end(second, Ending::Reset, None, false);
-    assert_eq!(d.sent(2), vec![PRIMARY, PRIMARY], "it goes out again at once");
+    assert_eq!(d.sent(2), vec![PRIMARY, PRIMARY], "the write is sent again at once");
     d.end(third, Ending::Reset, None, false);
     d.request(4, WRITE, Some(4));
-    assert!(d.sent(3).len() == 1 && d.sent(4).is_empty(), "two in a row and nothing between: it is gone");
+    assert!(
+        d.sent(3).len() == 1 && d.sent(4).is_empty(),
+        "two resets in a row without an answer in between: the member is gone"
+    );
 }
 
 #[test]
 fn suspect_is_looked_at_sooner_where_aims_are_short() {
-    // Guards sites with short aims against gaps that suit one with long ones: writes wait for such a look.
+    // Guards against a fixed delay between probes of a suspected member: writes wait for such a probe, and a delay that
+    // suits classes with a long target time is too long for those with a short one.
     let mut s = settings(vec![WRITE]);
     s.classes[0].aim = 50_000;
     let mut d = Driver::new(s);
@@ -478,8 +499,8 @@
 
 #[test]
 fn error_of_an_uncrowded_primary_is_tried_again_beyond_the_budget() {
-    // Guards against writes that fail in a row at a primary that errs often and has time to spare: nobody else can
-    // take them.
+    // Guards against writes that fail although the primary, which often answers with errors, has capacity to spare: no
+    // other member can take them.
     let failed = |takes: Micros| {
         let mut d = Driver::new(settings(vec![WRITE]));
         d.members(&[PRIMARY, REPLICA], PRIMARY);
@@ -497,13 +518,13 @@
         (0..40).map(|id| d.finals(id)).sum::<usize>()
     };
     assert!(failed(10_000) == 0, "{} of 40 failed", failed(10_000));
-    assert!(failed(90_000) > 20, "one that is crowded is spared: {}", failed(90_000));
+    assert!(failed(90_000) > 20, "an overloaded primary gets no extra attempts: {} failed", failed(90_000));
 }
 
 #[test]
 fn attempts_called_off_at_their_deadline_tell_that_a_member_is_crowded() {
-    // Guards against a member that answers some and leaves the rest to their deadline: judged by its answers alone it
-    // would count as quick.
+    // Guards against taking an overloaded member for a fast one: it answers some requests and leaves the others until
+    // their deadline, so its answers alone look fast.
     let sends = |answered: u64| {
         let mut s = settings(vec![ANY]);
         s.fleet = 100;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A driver for tests: it feeds a balancer and keeps what it asked for.
+//! A driver for tests: it hands events to a balancer, keeps the time and the timers, and logs the actions.
 
-// Each file of tests uses some of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 pub const REPLICA: MemberId = MemberId(1);
 pub const THIRD: MemberId = MemberId(2);
 
-/// A class by its read level and effect.
+/// A request class, given by its read level and its effect.
 pub type Kind = (ReadLevel, Effect);
 pub const ANY: Kind = (ReadLevel::Any, Effect::Safe);
 pub const BOUNDED: Kind = (ReadLevel::Bounded(300_000), Effect::Safe);
@@ -66,7 +66,8 @@
     }
 }
 
-/// A deployment like the first: keyed writes, db hosts that turn reads away for which they lag, no tenants.
+/// Settings of a deployment with keyed writes, with db hosts that refuse a read if their data is too old for it, and
+/// without tenants.
 pub fn keyed_site() -> Settings {
     let mut s = settings(vec![(ReadLevel::Bounded(200_000), Effect::Safe), SESSION, WRITE]);
     let figures =
@@ -79,8 +80,8 @@
     s
 }
 
-/// A deployment like the second: writes that must never run twice, db hosts that answer from what they have, no roles in
-/// the list, three tenants.
+/// Settings of a deployment with writes that must never run twice, with db hosts that answer a read however old their
+/// data is, with a member list that names no primary, and with three tenants.
 pub fn shared_site() -> Settings {
     let mut s = settings(vec![(ReadLevel::Bounded(200_000), Effect::Safe), SESSION, UNSAFE]);
     let figures =
@@ -115,10 +116,10 @@
     timers: BTreeMap<Micros, TimerTag>,
     probing: Vec<MemberId>,
     pub log: Vec<(Micros, Action)>,
-    /// Attempts still out, with the time at which they run out.
+    /// Unanswered attempts by request and number: the member they were sent to, and the time at which they time out.
     out: BTreeMap<(u64, u32), (MemberId, Micros)>,
     over: Vec<u64>,
-    /// Whose the requests are that come next.
+    /// The tenant that sends the following requests.
     pub tenant: Option<TenantId>,
 }
 
@@ -165,7 +166,10 @@
                 }
                 Action::Probe { member } => self.probing.push(*member),
                 Action::Send { request, member, timeout } => {
-                    assert!(!self.over.contains(&request.0), "sent after its end: {request:?}");
+                    assert!(
+                        !self.over.contains(&request.0),
+                        "attempt sent after the request was over: {request:?}"
+                    );
                     let attempt = self.sent(request.0).len() as u32;
                     self.out.insert((request.0, attempt), (*member, self.now + *timeout));
                 }
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Lets time pass: timers fire, attempts run out.
+    /// Advances the clock to `until`, firing the timers that are due and timing out attempts.
     pub fn run_to(&mut self, until: Micros) {
         loop {
             let timer = self.timers.first_key_value().map(|(at, _)| *at);
@@ -210,7 +214,7 @@
         self.list(ListKind::Full, entries);
     }
 
-    /// A probe's answer that tells a replica's position.
+    /// Answers a probe of a replica with the replica's position.
     pub fn position(&mut self, member: MemberId, position: Micros) {
         self.report(member, position, false);
     }
@@ -221,17 +225,17 @@
         self.handle(Event::Probed(Probed { member, ending: Ending::Ok, elapsed: 0, report: Some(report) }));
     }
 
-    /// The process runs: probes are answered, with nothing in them.
+    /// Answers a probe of the member without a report: the member is up.
     pub fn members_up(&mut self, member: MemberId) {
         self.handle(Event::Probed(Probed { member, ending: Ending::Ok, elapsed: 0, report: None }));
     }
 
-    /// Whether a probe of it is out.
+    /// Whether a probe of the member is unanswered.
     pub fn is_probing(&self, member: MemberId) -> bool {
         self.probing.contains(&member)
     }
 
-    /// Answers the probes that are out with nothing new.
+    /// Answers all outstanding probes without a report.
     pub fn settle_probes(&mut self) {
         for member in std::mem::take(&mut self.probing) {
             self.members_up(member);
@@ -247,7 +251,7 @@
         self.arrive(id, class, GROUP, key, since_write);
     }
 
-    /// A client's repeat, with so much of its wait left.
+    /// Hands over a client's repeat of a request, with `left` until the client's deadline.
     pub fn repeat(&mut self, id: u64, kind: Kind, left: Micros) {
         let class = self.classes.iter().position(|c| (c.read, c.effect) == kind).unwrap();
         let (request, class, deadline) = (RequestId(id), ClassId(class), self.now + left);
@@ -284,10 +288,10 @@
         }));
     }
 
-    /// Sends a write and names its attempt.
+    /// Sends a write and returns its first attempt as request, attempt number and member.
     pub fn write(&mut self, id: u64, key: u64) -> (u64, u32, MemberId) {
         self.request(id, WRITE, Some(key));
-        (id, 0, *self.sent(id).last().expect("the write was sent"))
+        (id, 0, *self.sent(id).last().expect("the write has been sent to a member"))
     }
 
     pub fn ok(&mut self, attempt: (u64, u32, MemberId), position: Option<Micros>, primary: bool) {
@@ -306,7 +310,7 @@
         self.over.pop();
     }
 
-    /// Attempts still out, as request, number, member and when each was sent.
+    /// Returns the unanswered attempts, each as request, attempt number and member, with the time at which it was sent.
     pub fn still_out(&self) -> Vec<((u64, u32, MemberId), Micros)> {
         let sent = |id: u64, n: u32| {
             let sends =
@@ -347,7 +351,8 @@
         }));
     }
 
-    /// An attempt ends whose connection was closed under it: another may follow from `settled_at` on.
+    /// Ends an attempt whose connection was closed before an answer came; the next attempt is allowed from `settled_at`
+    /// on.
     pub fn end_closed(&mut self, at: (u64, u32, MemberId), ending: Ending, settled_at: Micros) {
         let (id, attempt, member) = at;
         self.out.remove(&(id, attempt));
@@ -364,7 +369,7 @@
         }));
     }
 
-    /// Where a request's attempts went.
+    /// The members to which a request's attempts were sent, in order.
     pub fn sent(&self, id: u64) -> Vec<MemberId> {
         let sends = self.log.iter().filter_map(|(_, a)| match a {
             Action::Send { request, member, .. } if request.0 == id => Some(*member),
@@ -382,7 +387,7 @@
         self.log.iter().filter(|(_, a)| refused(a)).count()
     }
 
-    /// Final answers of the balancer's own.
+    /// The number of final answers (refusals and failures) that the balancer itself has given to a request.
     pub fn finals(&self, id: u64) -> usize {
         let failed = |a: &Action| matches!(a, Action::Fail { request } if request.0 == id);
         self.refusals(id) + self.log.iter().filter(|(_, a)| failed(a)).count()
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,4 +1,4 @@
-//! What differs between deployments, on settings of each kind. docs/deployments.md tells of it.
+//! Tests of what differs between kinds of deployments, with settings of each kind (see docs/deployments.md).
 
 mod common;
 
@@ -7,23 +7,23 @@
 use common::*;
 use leadmast::*;
 
-/// How long a db host works on a request, and how many it works on at a time.
+/// How long a db host works on a request, and on how many requests it works at a time.
 const TAKES: Micros = 40_000;
 const AT_ONCE: usize = 4;
 
-/// Ten seconds before a primary and two replicas that bear 300 requests a second. Each tenant sends bounded reads at so
-/// many times its rate; clients whose request is refused come once more. Tells which share of each tenant's requests was
-/// answered in time.
+/// Plays ten seconds with a primary and two replicas that can serve 300 requests a second. Each tenant sends bounded
+/// reads at the given multiple of its rate; clients repeat a refused request once. Returns the share of each tenant's
+/// requests that was answered within the class's target time.
 fn served(settings: Settings, times: [f64; 3]) -> [f64; 3] {
     let (aim, rates) = (settings.classes[0].aim, [100.0, 60.0, 40.0]);
     let mut d = Driver::new(settings);
     d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
     d.report(PRIMARY, 0, true);
-    // When each place at each db host is free again, and when each attempt that is out there ends.
+    // When each of a db host's parallel workers is free again, and when each unanswered attempt will be answered.
     let mut free = BTreeMap::from([PRIMARY, REPLICA, THIRD].map(|m| (m, vec![0; AT_ONCE])));
     let mut ends: BTreeMap<(u64, u32), Micros> = BTreeMap::new();
     let mut next = [0.0; 3];
-    // Of each request by its first try: its tenant, when that came, and whether it was served in time.
+    // By request: its tenant, when it was first sent, and whether it was served in time.
     let mut asked: BTreeMap<u64, (usize, Micros, bool)> = BTreeMap::new();
     let mut again: BTreeMap<Micros, Vec<u64>> = BTreeMap::new();
     for step in 0..2_000 {
@@ -57,7 +57,7 @@
                 request.2 |= now - request.1 <= aim;
             }
         }
-        // Only the latest actions are looked at.
+        // Only recent actions are looked at; dropping the older ones keeps the search in the log fast.
         if step % 100 == 0 {
             d.log.retain(|(at, _)| *at > now - 1_000_000);
         }
@@ -70,21 +70,22 @@
 
 #[test]
 fn tenant_at_five_times_its_rate_costs_others_little() {
-    // Guards the others: without shares all wait in one line, and who asks most gets most.
+    // Guards against one tenant that takes the capacity of the others: without shares all requests wait in one queue,
+    // and whoever sends most is served most.
     let usual = served(shared_site(), [1.0; 3]);
     let crowded = served(shared_site(), [5.0, 1.0, 1.0]);
     assert!(usual.iter().all(|s| *s > 0.98), "{usual:?}");
     assert!(crowded[1] > 0.95 * usual[1] && crowded[2] > 0.95 * usual[2], "{crowded:?} of {usual:?}");
-    assert!(crowded[0] > 0.15, "{crowded:?}: its share is served, and what is left over");
+    assert!(crowded[0] > 0.15, "{crowded:?}: the first tenant gets its share and the spare capacity");
     let mut none = shared_site();
     none.tenants.clear();
     let without = served(none, [5.0, 1.0, 1.0]);
-    assert!(without[1] < 0.9 * usual[1], "the day is no overload: {without:?}");
+    assert!(without[1] < 0.9 * usual[1], "the load has to overload the db hosts: {without:?}");
 }
 
 #[test]
 fn requests_without_a_known_tenant_have_no_share_and_are_served() {
-    // Guards clients with a wrong name, and deployments that name none.
+    // Guards against refusing clients that name an unknown tenant or none.
     for (tenant, beyond) in [(None, true), (Some(TenantId(7)), true), (Some(TenantId(0)), false)] {
         let mut d = Driver::new(shared_site());
         d.members(&[PRIMARY, REPLICA], PRIMARY);
@@ -96,7 +97,7 @@
     let mut d = Driver::new(keyed_site());
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.request_in(1, 0, GROUP);
-    assert!(!d.balancer.is_beyond(RequestId(1)), "nobody has a share here");
+    assert!(!d.balancer.is_beyond(RequestId(1)), "without tenants in the settings there are no shares");
 }
 
 #[test]
@@ -106,8 +107,8 @@
     d.tenant = Some(TenantId(1));
     (0..100).for_each(|id| d.request_in(id, 0, GROUP));
     let within = (0..100).filter(|id| !d.balancer.is_beyond(RequestId(*id))).count();
-    // Sixty a second.
-    assert_eq!(within, 31, "half a second's, and the one that is due now");
+    // The tenant's rate is 60 requests a second.
+    assert_eq!(within, 31, "the requests of half a second, and the one that is due now");
     d.run_to(60_500_000);
     (100..200).for_each(|id| d.request_in(id, 0, GROUP));
     let within = (100..200).filter(|id| !d.balancer.is_beyond(RequestId(*id))).count();
@@ -141,14 +142,15 @@
         assert_eq!(d.sent(1).len() > 1, repeated, "{ending:?}");
         assert!(
             repeated || (d.finals(1), d.refusals(1)) == (1, 0),
-            "{ending:?}: it fails, and is not refused"
+            "{ending:?}: the write fails and is not refused"
         );
     }
 }
 
 #[test]
 fn write_that_must_not_run_twice_has_no_copy_whatever_its_db_host_does() {
-    // Guards the ways to a second copy: a host that falls silent, one that is suspected by others' attempts.
+    // Guards against second copies of a write whose db host falls silent, is suspected because of other attempts, or is
+    // no longer the primary.
     let mut d = Driver::new(shared_site());
     d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
     d.report(PRIMARY, 1_000, true);
@@ -159,14 +161,15 @@
     d.end((2, 0, PRIMARY), Ending::Reset, None, false);
     d.report(THIRD, 200_000, true);
     d.run_to(4_000_000);
-    assert_eq!(d.sent(1), vec![PRIMARY], "silent, then suspected, then no primary any more");
+    assert_eq!(d.sent(1), vec![PRIMARY], "the db host is silent, then suspected, then no longer the primary");
     d.run_to(5_100_000);
     assert_eq!((d.sent(1).len(), d.finals(1), d.refusals(1)), (1, 1, 0));
 }
 
 #[test]
 fn write_on_a_silent_connection_keeps_its_db_host_from_nobody_else() {
-    // Guards writes that are never repeated: one waits on its connection to its deadline, while its primary serves on.
+    // Guards against avoiding a primary because of one write that waits on a dead connection until its deadline (such
+    // writes are never repeated), while the primary answers all others.
     let mut d = Driver::new(shared_site());
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.report(PRIMARY, 0, true);
@@ -194,18 +197,18 @@
             sent += 1;
             d.ok_after((id, 0, PRIMARY), Some(d.now()), true, 10_000);
         }
-        // Nobody asks for a while: the silence is the stuck write's alone.
+        // No requests for a while: only the stuck write is unanswered.
         if id % 20 == 0 {
             d.run_to(d.now() + 200_000);
         }
     }
-    assert!(sent >= 95, "{sent} of 100 others were sent to a primary that serves");
-    assert_eq!(d.sent(1).len(), 1, "and it is never repeated");
+    assert!(sent >= 95, "only {sent} of 100 other writes were sent to the working primary");
+    assert_eq!(d.sent(1).len(), 1, "the stuck write is never repeated");
 }
 
 #[test]
 fn roaming_session_sees_its_write_by_what_its_client_carries() {
-    // Guards sessions of which another proxy took the write: this one has seen nothing of it.
+    // Guards against stale session reads after a write that went through another proxy, which this one knows nothing of.
     for site in [keyed_site(), shared_site()] {
         let checked = site.behind != Behind::Silent;
         let mut d = Driver::new(site);
@@ -216,19 +219,26 @@
         d.position(THIRD, 9_960_000);
         for id in 0..20 {
             d.request_since(id, SESSION, Some(id), Some(50_000));
-            assert_eq!(d.sent(id), vec![THIRD], "the only replica past the write; checked {checked}");
+            assert_eq!(
+                d.sent(id),
+                vec![THIRD],
+                "the only replica that has applied the write; checked {checked}"
+            );
             d.ok((id, 0, THIRD), Some(9_960_000), false);
         }
         d.request_since(100, SESSION, Some(100), Some(30_000));
         d.settle_probes();
         let at_once = d.sent(100);
-        assert!(checked || at_once == vec![PRIMARY], "only the primary is known to have it: {at_once:?}");
+        assert!(
+            checked || at_once == vec![PRIMARY],
+            "only the primary is known to have the write: {at_once:?}"
+        );
     }
 }
 
 #[test]
 fn primary_is_found_where_the_list_tells_no_roles() {
-    // Guards the first write of a young proxy: nobody is listed as primary, and none has said anything.
+    // Guards the first write after a proxy's start: no member is listed as primary, and none has been asked yet.
     let mut d = Driver::new(shared_site());
     let members = [PRIMARY, REPLICA, THIRD];
     d.list(ListKind::Saved, members.iter().map(|m| entry(*m, false)).collect());
@@ -241,9 +251,9 @@
         }
         d.end((1, n, to), Ending::Miss, Some(Note { position: Some(0), primary: false }), false);
     }
-    assert_eq!(d.sent(1).last(), Some(&REPLICA), "it asked until one said that it is the primary");
+    assert_eq!(d.sent(1).last(), Some(&REPLICA), "members are tried until one answers as the primary");
     d.request_in(2, 2, GROUP);
-    assert_eq!(d.sent(2), vec![REPLICA], "known from then on");
+    assert_eq!(d.sent(2), vec![REPLICA], "the primary is known from then on");
 }
 
 #[test]
@@ -254,7 +264,9 @@
         (0..3).for_each(|class| d.request_in(class as u64, class, GROUP));
         d.run_to(6_000_000);
         let advice = d.log.iter().filter_map(|(_, a)| match a {
-            Action::Refuse { retry_after, .. } => Some(retry_after.expect("advice")),
+            Action::Refuse { retry_after, .. } => {
+                Some(retry_after.expect("each refusal carries a retry time"))
+            }
             _ => None,
         });
         let advice: Vec<_> = advice.collect();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,12 +1,14 @@
-//! What drivers of a large fleet do together: each test sums up over all instances, under a scripted clock.
+//! Tests of the combined load that many drivers put on shared members: each runs one driver per proxy on a simulated
+//! clock and adds up what they send.
 
 mod common;
 
 use common::*;
 use leadmast::*;
 
-/// One driver of a hundred, for twenty seconds: it is asked for two writes a second, of which the primary takes as long
-/// over each as `takes` says of the time. Tells those that were never sent, and the attempts held, every 10 ms.
+/// Runs one driver of a fleet of a hundred for twenty seconds with two writes a second. The primary answers a write
+/// after `takes(now)`. Returns the arrival times of the writes that were never sent, and the number of unanswered
+/// attempts every 10 ms.
 fn writes_of_one_in_a_fleet(seed: u64, takes: impl Fn(Micros) -> Micros) -> (Vec<Micros>, Vec<usize>) {
     let mut s = settings(vec![WRITE]);
     s.fleet = 100;
@@ -33,36 +35,37 @@
 
 #[test]
 fn crowded_primary_holds_few_attempts_of_a_large_fleet() {
-    // Guards against turns paced by what a class usually takes: a member that takes forty times as long would hold
-    // forty times the room that all drivers together give it, and answer nothing in time.
+    // Guards against pacing attempts by a class's usual answer time: a member that takes forty times as long would hold
+    // forty times the attempts that all drivers together mean to give it, and answer none of them in time.
     let held = |seed| {
         let takes = |now| if now < 10_000_000 { 10_000 } else { 400_000 };
         writes_of_one_in_a_fleet(seed, takes).1[1_500..].iter().sum::<usize>() as f64 / 500.0
     };
-    // Two writes a second of each are asked for: eighty attempts held in the mean, were they all sent.
+    // Each driver gets two writes a second: 80 attempts would be unanswered on average if all were sent.
     let all: f64 = (0..100).map(held).sum();
     assert!((1.0..25.0).contains(&all), "{all}");
 }
 
 #[test]
 fn recovered_primary_is_used_again_though_its_last_answers_were_slow() {
-    // Guards against a pace by strain that does not fade: a driver of a large fleet gets an answer in seconds, and would
-    // stay away for ten where the last one was bad.
+    // Guards against pacing by a load estimate that does not decay: a driver of a large fleet gets an answer only every
+    // few seconds, and would avoid the primary for ten seconds after a slow one.
     let unsent = |seed| {
         let takes = |now| if (5_000_000..10_000_000).contains(&now) { 400_000 } else { 10_000 };
         let unsent = writes_of_one_in_a_fleet(seed, takes).0;
-        // From three seconds after it has recovered.
+        // Counts from three seconds after the primary's recovery.
         unsent.into_iter().filter(|at| (13_000_000..19_000_000).contains(at)).count()
     };
-    // Of twelve writes of each.
+    // Each of the 100 drivers got twelve writes in that time.
     let all: usize = (0..100).map(unsent).sum();
     assert!(all < 700, "{all} of 1,200 not sent");
 }
 
 #[test]
 fn cold_primary_that_answers_uncrowded_gets_what_its_rule_allows_and_no_more() {
-    // Guards both sides of rule 4: half of what it allows leaves a primary idle whose writes find no turn, as it bears
-    // more than the mean member; and more, over all drivers, may push it over.
+    // Guards both sides of the cold-member rule (`Rules::cold_share`, `fall_multiple`). With half of the allowance, the
+    // primary is idle while writes wait, because it has more than the mean member's load. With more than the allowance,
+    // the sum over all drivers may overload it.
     const COLD: MemberId = MemberId(3);
     let taken = |seed: u64| {
         let mut s = settings(vec![WRITE]);
@@ -72,7 +75,7 @@
         for step in 0..1_300 {
             d.run_to(step * 10_000);
             if step == 1_000 {
-                // A new machine takes the primary's place, cold.
+                // A cold member replaces the primary.
                 let started = Entry { since: Some(d.now()), ..entry(COLD, true) };
                 let gone = Entry { phase: Phase::Removed, ..entry(PRIMARY, false) };
                 d.list(ListKind::Incremental, vec![gone, started]);
@@ -83,21 +86,21 @@
                     d.ok_after(at, Some(d.now()), true, 20_000);
                 }
             }
-            // Ten writes a second of each: more than a cold one may get.
+            // Each driver gets ten writes a second, which is more than a cold member may get.
             if (step + seed as i64) % 10 == 0 {
                 d.request(step as u64, WRITE, Some(step as u64));
             }
         }
         d.sends_to(COLD)
     };
-    // In its first three seconds, of 3,000. The mean warm member bears 333 a second; of that a third in the mean, times
-    // 2.5, are 830 in the three seconds.
+    // Of the 3,000 writes of the new primary's first three seconds. The mean warm member has 333 a second; a third of
+    // that on average, times 2.5, is 830 in three seconds.
     let all: usize = (0..100).map(taken).sum();
     assert!((650..830).contains(&all), "{all}");
 }
 
-/// Whether one driver of so many sends a read that no replica is known to be recent enough for to its primary, after
-/// writes at another set's primary that were answered late.
+/// Whether one driver of a fleet of `fleet` sends a read to its group's primary when no replica is known to be recent
+/// enough, after another group's primary has answered writes late.
 fn read_reaches_the_primary_after_late_answers_elsewhere(fleet: u32, seed: u64) -> bool {
     let mut s = settings(vec![WRITE, BOUNDED]);
     s.fleet = fleet;
@@ -120,19 +123,19 @@
 
 #[test]
 fn reads_of_a_large_fleet_keep_off_primaries_that_are_crowded_at_large() {
-    // Guards against reads that drown all primaries in a crowd: one proxy of 300 sends a primary a request in seconds,
-    // learns of each too late, and all of them together send it more than it bears.
+    // Guards against reads that overload all primaries at once: one proxy of 300 sends a primary a request only every few
+    // seconds, so it notices the overload too late, while all proxies together send more than the primary can serve.
     let reads = |fleet| {
         (0..300).filter(|seed| read_reaches_the_primary_after_late_answers_elsewhere(fleet, *seed)).count()
     };
-    assert_eq!(reads(300), 0, "of 300 drivers");
-    assert_eq!(reads(3), 300, "a small fleet judges each primary by its own answers");
+    assert_eq!(reads(300), 0, "a driver of a fleet of 300 sends no read to the primary");
+    assert_eq!(reads(3), 300, "a driver of a small fleet judges each primary by that primary's answers");
 }
 
 #[test]
 fn replica_that_was_behind_is_tried_again_after_a_while() {
-    // Guards against reads that stay at the primary for good once its replicas were seen to lag: nobody but a read
-    // would find out that they have caught up.
+    // Guards against sending reads to the primary forever once its replicas were seen to lag: without probes only a read
+    // can show that they have caught up.
     let tried = |after: Micros| {
         let one = |seed: &u64| {
             let mut s = settings(vec![BOUNDED]);
@@ -147,39 +150,44 @@
         };
         (0..300).filter(one).count()
     };
-    assert_eq!(tried(100_000), 0, "it lags by a second, and 300 ms are allowed");
+    assert_eq!(tried(100_000), 0, "the replica lags by a second, and 300 ms are allowed");
     assert_eq!(tried(4_000_000), 300);
 }
 
-/// When a cold member starts, and what the settings say of those: their share of capacity at first, the time until they are warm, and the multiple
-/// of what they bear that pushes them over when it is sent within the last time.
+/// A cold member's start, and the settings for cold members.
 #[derive(Clone, Copy, Debug)]
 struct ColdRule {
+    /// When the cold member starts.
     starts: Micros,
+    /// Its share of its warm capacity at the start.
     share: f64,
+    /// The time that it takes to warm up.
     cold: Micros,
+    /// The multiple of its current capacity that overloads it,
     multiple: f64,
+    /// when it is sent within this time.
     fall: Micros,
 }
 
-/// Drivers of the fleet that share its members.
+/// Number of drivers that share the members.
 const CROWD: usize = 24;
-/// A burst begins when the cold member starts, and lasts so long.
+/// Length of the burst, which begins when the cold member starts.
 const BURST: Micros = 6_000_000;
-/// For so long the work is measured once it is warm.
+/// For how long the member's share of the work is measured once it is warm.
 const WARM: Micros = 4_000_000;
-/// Work of the two classes, as parts of the lighter one's; one request in ten is heavy.
+/// Work of a heavy request, where a light one has 1; one request in ten is heavy.
 const HEAVY: f64 = 3.0;
 const MEAN_WORK: f64 = 1.2;
-/// Requests take this long besides the work on them.
+/// Time that each request takes in addition to the work on it.
 const ROUND_TRIP: Micros = 5_000;
 
-/// A member that works off what all drivers send it, one request after the other.
+/// A simulated member that works on the requests of all drivers, one after the other.
 struct Served {
-    /// Light requests a second that it bears when warm.
+    /// Light requests a second that the member can serve when warm.
     capacity: f64,
+    /// When it has finished the requests that have arrived.
     free: Micros,
-    /// What has come, and its work.
+    /// When each request arrived, and its work.
     arrived: Vec<(Micros, f64)>,
 }
 
@@ -188,7 +196,8 @@
         Served { capacity, free: 0, arrived: Vec::new() }
     }
 
-    /// When a request that comes now is answered.
+    /// Adds a request that arrives now and returns when it will be answered; `share` is the share of its warm capacity
+    /// at which the member works.
     fn take(&mut self, now: Micros, work: f64, share: f64) -> Micros {
         self.arrived.push((now, work));
         self.free = self.free.max(now) + (work / (self.capacity * share) * 1e6) as Micros;
@@ -197,13 +206,13 @@
 }
 
 impl ColdRule {
-    /// What a member has warmed up to.
+    /// The share of its warm capacity that the member has at a given time.
     fn warmth(&self, at: Micros) -> f64 {
         let warm = (at - self.starts) as f64 / self.cold as f64;
         (self.share + (1.0 - self.share) * warm.max(0.0)).min(1.0)
     }
 
-    /// The most work sent within the time of the rule, as a share of what would push the member over.
+    /// The most work that the member was sent within any `fall` of its warm-up, as a share of the work that overloads it.
     fn worst(&self, member: &Served) -> f64 {
         let of = &member.arrived;
         let within = |from: Micros| of.iter().filter(move |(at, _)| (from..from + self.fall).contains(at));
@@ -217,15 +226,15 @@
     }
 }
 
-/// One driver, and what it waits for.
+/// One driver with its requests and the answers that it will get.
 struct Instance {
     driver: Driver,
-    /// How much of the driver's log has been carried out.
+    /// How many entries of the driver's log have been handled.
     seen: usize,
     asked: u64,
     heavy: Vec<bool>,
     attempts: std::collections::BTreeMap<u64, u32>,
-    /// When attempts are answered.
+    /// For each unanswered attempt: when it will be answered, when it was sent, and the attempt.
     answers: Vec<(Micros, Micros, (u64, u32, MemberId))>,
 }
 
@@ -243,7 +252,7 @@
         self.asked += 1;
     }
 
-    /// Hands over the answers that are due, and what the driver has sent since.
+    /// Hands the driver the answers that are due, and the members the attempts that it has sent since.
     fn turn(&mut self, now: Micros, members: &mut [Served], rule: &ColdRule) {
         self.driver.run_to(now);
         let (due, later): (Vec<_>, Vec<_>) =
@@ -272,8 +281,9 @@
     }
 }
 
-/// What a cold member is sent by a crowd of drivers under a burst beyond what warm members bear, at most, as a share of what
-/// would push it over; and its share of the work when it is warm.
+/// Plays a burst that exceeds the capacity of the warm members while a cold one starts. Returns the most work that the
+/// drivers sent the cold member, as a share of the work that overloads it, and the member's share of all work once it is
+/// warm.
 fn sent_to_a_cold_member(rule: ColdRule, capacity: f64, seed: u64) -> (f64, f64) {
     let mut s = settings(vec![ANY, ANY]);
     s.fleet = CROWD as u32;
@@ -288,7 +298,7 @@
     for step in 0..ends / STEP {
         let now = step * STEP;
         let load = if (rule.starts..rule.starts + BURST).contains(&now) { 1.5 } else { 0.9 };
-        // Of each driver in one step.
+        // The mean number of requests that each driver gets in one step.
         let chance = 2.0 * capacity * load / MEAN_WORK / CROWD as f64 * STEP as f64 / 1e6;
         for instance in &mut instances {
             if now == rule.starts {
@@ -310,13 +320,13 @@
 
 #[test]
 fn cold_member_is_not_pushed_over_by_the_sum_of_a_crowd_under_a_burst() {
-    // Guards rule 4 over the sum of twenty to thirty drivers, each of which sees a twenty-fourth of the traffic: more than
-    // N + 2 x root of N + 2 requests of mean work within the time of the rule push a cold member over. Small members too,
-    // where chance has the largest part.
+    // Guards the cold-member rule for the sum over 24 drivers, each of which sees a twenty-fourth of the traffic. With N
+    // as the allowed number of requests within `fall`, more than N + 2 * sqrt(N) + 2 requests of mean work overload a
+    // cold member. Members of small capacity are included because random variation is largest there.
     let rules = [(0.17, 18, 4.0, 3_000_000), (0.2, 10, 2.5, 1_500_000), (0.1, 12, 2.0, 1_000_000)];
     let mut highest = 0.0_f64;
     for (share, seconds, multiple, fall) in rules {
-        // Old drivers, and such as have started two seconds before.
+        // Drivers that have run for 12 s, and drivers that started only 2 s before the cold member.
         for starts in [12_000_000, 2_000_000] {
             let rule = ColdRule { starts, share, cold: seconds * 1_000_000, multiple, fall };
             for (capacity, seed) in [(40.0, 0), (40.0, 1), (300.0, 2)] {
@@ -330,7 +340,7 @@
             }
         }
     }
-    // What is left idle while others drown is a loss, too.
-    println!("at most {highest:.3} of what pushes a cold member over");
+    // A cold member that is left nearly idle while others are overloaded is a fault, too.
+    println!("at most {highest:.3} of the work that overloads a cold member");
     assert!(highest > 0.25, "{highest}");
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,5 @@
-//! What CI makes of KNOWN-RED.txt: it passes over just the tests that are listed there, and no odd file hides any.
+//! Tests of `.ci/known-red`, which reads KNOWN-RED.txt for CI: exactly the tests that are listed there are skipped, and
+//! a malformed file fails the run instead of hiding tests.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -9,7 +10,7 @@
 
 fn run(name: &str, tests: &str, text: &str) -> Output {
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&file, text).expect("a file");
+    std::fs::write(&file, text).expect("the list can be written");
     let script = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
     let mut child = Command::new(script)
         .arg(&file)
@@ -17,15 +18,20 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
-    child.stdin.take().expect("a pipe").write_all(tests.as_bytes()).expect("it reads");
-    child.wait_with_output().expect("it ends")
+        .expect("the script can be started");
+    child
+        .stdin
+        .take()
+        .expect("stdin is piped")
+        .write_all(tests.as_bytes())
+        .expect("the script reads its input");
+    child.wait_with_output().expect("the script ends")
 }
 
 #[test]
 fn listed_tests_alone_are_passed_over_and_printed() {
     let line = "a::drains | cargo test drains, seed 3 | a late drain is not heard | issue 32";
-    // With and without the last line end.
+    // With and without a newline at the end of the file.
     for text in [format!("{line}\n"), line.to_owned()] {
         let out = run("one", TESTS, &text);
         assert!(out.status.success());
@@ -34,7 +40,7 @@
     }
 }
 
-/// A fault that only a longer run shows is printed, and passes over nothing.
+/// A known fault that no test of the suite shows is listed with `-` for its test: it is printed, and no test is skipped.
 #[test]
 fn line_without_a_test_passes_over_none() {
     let line = "- | soak --seed 3 | one write ran twice | issue 32";
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! What lists of members change, event by event.
+//! Tests of how the balancer handles member lists, and of when it asks for them.
 
 mod common;
 
@@ -11,7 +11,8 @@
     Entry { member, common: member.0.into(), group, weight: 1.0, leader, ..Entry::default() }
 }
 
-/// A member that is listed in another group, as a host that was rebuilt under its name, has none of its former group's data.
+/// Guards against reads at a member that was rebuilt under its old address for another group: it no longer has its former
+/// group's data.
 #[test]
 fn member_that_is_listed_in_another_group_serves_its_former_one_no_more() {
     let mut balancer = Balancer::new(settings(vec![ANY]), 7, 0);
@@ -45,7 +46,7 @@
     assert_eq!(sent_of(&mut balancer, 2, OTHER_GROUP), Some(REPLICA));
 }
 
-/// A driver whose watch stands since `now`, and has told a list.
+/// A driver that opened its watch of the member list at `now` and has received a list on it.
 fn driver_with_watch(now: Micros) -> Driver {
     let mut settings = settings(vec![ANY]);
     settings.list_on_request = true;
@@ -56,12 +57,13 @@
     driver
 }
 
-/// When the latest watch was asked for.
+/// When the driver last asked for a watch.
 fn latest_watch(driver: &Driver) -> Option<Micros> {
     driver.log.iter().rfind(|(_, action)| *action == Action::Watch).map(|(at, _)| *at)
 }
 
-/// Guards drains against a watch that breaks as they come: what was written to it counts as told.
+/// Guards against missing a drain when the watch breaks as the drain is announced: discovery counts the drain as delivered
+/// once it has written it to the watch, so the driver has to ask again quickly.
 #[test]
 fn watch_that_breaks_after_it_stood_is_opened_anew_within_50_ms() {
     const BROKEN_AT: Micros = 10_000_000;
@@ -74,7 +76,7 @@
     }
 }
 
-/// Guards discovery against crowds: calls that go on failing are made ever less often.
+/// Guards the discovery service against overload: calls that keep failing are repeated less and less often.
 #[test]
 fn calls_for_the_list_that_fail_in_a_row_back_off() {
     const BROKEN_AT: Micros = 10_000_000;
@@ -85,13 +87,14 @@
         driver.list(ListKind::Failed, Vec::new());
         driver.run_to(failed_at + 2_000_000);
         assert_eq!(driver.watches(), before + 1);
-        let wait = latest_watch(&driver).expect("one was asked for") - failed_at;
+        let wait = latest_watch(&driver).expect("a watch was asked for") - failed_at;
         let least = if failure == 0 { 0 } else { (25_000 << failure.min(10)).min(1_000_000) };
         assert!(wait >= least, "after failure {failure}: {wait} us");
     }
 }
 
-/// Guards drains where calls break one after the other: each of them may have been told the drain before it broke.
+/// Guards against missing a drain when several calls break one after the other: discovery may have written the drain to any
+/// of them.
 #[test]
 fn calls_whose_connections_break_are_made_again_at_once_four_times() {
     let mut driver = driver_with_watch(1_000);
@@ -105,10 +108,11 @@
     driver.list(ListKind::Broken, Vec::new());
     let failed_at = driver.now();
     driver.run_to(failed_at + 50_000);
-    assert_eq!(driver.watches(), 5, "it backs off");
+    assert_eq!(driver.watches(), 5, "the fifth call backs off");
 }
 
-/// Guards discovery against a crowd of processes that start together, and drivers against calls that never tell a list.
+/// Guards the discovery service against many processes that start at the same time, and drivers against calls that never
+/// deliver a list.
 #[test]
 fn first_call_for_the_list_that_fails_is_made_again_after_a_second_or_two() {
     let mut settings = settings(vec![ANY]);
@@ -122,7 +126,8 @@
     assert_eq!(driver.watches(), 2);
 }
 
-/// Guards discovery that ends each call behind its list, as a long poll that has nothing to wait for: it is no sound call.
+/// Guards the discovery service against a busy loop of calls if it ends each call right after its list, as a long poll
+/// without anything to wait for does: such a call counts as a failure.
 #[test]
 fn calls_that_end_right_behind_their_list_back_off_like_failures() {
     let mut driver = driver_with_watch(1_000);
@@ -148,13 +153,14 @@
     d.list(ListKind::Full, vec![entry(REPLICA, false)]);
     for id in 10..20 {
         d.request(id, ANY, None);
-        assert_eq!(d.sent(id), vec![REPLICA], "absent from a full list means removed");
+        assert_eq!(d.sent(id), vec![REPLICA], "a member that a full list lacks is removed");
     }
 }
 
 #[test]
 fn members_that_are_gone_are_forgotten_and_may_return() {
-    // Guards a long life's memory, and the time of each draw: members are replaced again and again.
+    // Guards against memory and selection time that grow in a long-running process as members are replaced again and
+    // again.
     let mut d = Driver::new(settings(vec![ANY]));
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.request(1, ANY, None);
@@ -165,7 +171,11 @@
         d.list(ListKind::Incremental, vec![gone]);
         d.list(ListKind::Full, vec![entry(PRIMARY, true)]);
     }
-    assert_eq!(d.balancer.targets().known, 2, "one listed, one that still owes an answer");
+    assert_eq!(
+        d.balancer.targets().known,
+        2,
+        "one member is listed, and one still has an unanswered attempt"
+    );
     d.ok((1, 0, REPLICA), None, false);
     d.list(ListKind::Incremental, vec![entry(REPLICA, false)]);
     d.request(2, ANY, None);
@@ -174,7 +184,7 @@
 
 #[test]
 fn member_held_out_gets_nothing_until_the_call_back_whatever_the_list_says() {
-    // Guards maintenance by hand: it stands beside the list's word, and ends with a cold member.
+    // Guards maintenance by operators: it holds whatever the member list says, and the member is cold when it ends.
     let mut d = Driver::new(settings(vec![ANY]));
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     let maintain = |d: &mut Driver, out| d.handle(Event::Maintenance { member: REPLICA, out });
@@ -191,7 +201,7 @@
         d.request(id, ANY, None);
     }
     let at_replica = (10..40).filter(|id| d.sent(*id) == vec![REPLICA]).count();
-    assert!((1..10).contains(&at_replica), "it is cold: {at_replica}");
+    assert!((1..10).contains(&at_replica), "the replica is treated as cold: {at_replica}");
 }
 
 #[test]
@@ -214,7 +224,7 @@
     assert_eq!(d.watches(), 1);
     d.list(ListKind::Failed, vec![]);
     d.run_to(1_000_000);
-    assert_eq!(d.watches(), 1, "paced");
+    assert_eq!(d.watches(), 1, "the call is not repeated at once");
     d.run_to(2_200_000);
     assert_eq!(d.watches(), 2);
 }
--- a/tests/permission.rs
+++ b/tests/permission.rs
@@ -1,4 +1,4 @@
-//! The rules in one place: each question with the facts that decide it, at the edges of its times.
+//! Tests of the `permission` module: each check with the facts that decide it, at the exact limits of its times.
 
 use leadmast::invariant::{violates_answer_time, violates_drain, Rule, Violations, Written};
 use leadmast::permission::*;
@@ -59,9 +59,9 @@
     assert_eq!(repeat(last - 1, keyed(Scope::All), here), Ok(()));
     assert_eq!(repeat(last, keyed(Scope::All), here), Err(AttemptDenial::WindowOver));
     assert_eq!(repeat(0, keyed(Scope::Zone), Some(ZoneId(2))), Err(AttemptDenial::OtherZone));
-    assert_eq!(repeat(0, keyed(Scope::Zone), None), Ok(()), "where the zone is not known others have asked");
+    assert_eq!(repeat(0, keyed(Scope::Zone), None), Ok(()), "an unknown zone does not deny a repeat");
     assert_eq!(repeat(0, keyed(Scope::Group), Some(ZoneId(2))), Ok(()));
-    // The bound is the first moment that is denied.
+    // The limit is the first time at which a repeat is denied.
     assert_eq!(repeat_by(keyed(Scope::All), doubt(7), MARGIN), Some(7 + last));
     assert_eq!(repeat_by(Effect::Unsafe, doubt(7), MARGIN), Some(7));
     assert_eq!(repeat_by(Effect::Safe, doubt(7), MARGIN), None);
@@ -85,11 +85,16 @@
         (HostStanding::Unknown, AttemptDenial::HostUnknown),
     ] {
         assert_eq!(may_write(0, &WriteFacts { host, ..facts }), Err(denial));
-        assert_eq!(may_write(0, &WriteFacts { host, begun: true, ..facts }), Ok(()), "it is finished there");
+        assert_eq!(
+            may_write(0, &WriteFacts { host, begun: true, ..facts }),
+            Ok(()),
+            "a statement whose writing has begun is finished there"
+        );
     }
 }
 
-/// Guards the time told: it is never more than what is left, and a statement that takes long to write tells less.
+/// Guards the remaining time that is sent with a statement: it never exceeds the time that is left, and it is shorter for
+/// a statement that takes long to write.
 #[test]
 fn time_told_is_true_until_the_last_byte() {
     for left in [1, 1_000, 400_000, 30_000_000] {
@@ -99,7 +104,10 @@
         }
     }
     assert_eq!(time_to_tell(400_000, 200).told, 400_000);
-    assert!(time_to_tell(400_000, 250_000).holds_for > 100_000, "a slow network has time for it");
+    assert!(
+        time_to_tell(400_000, 250_000).holds_for > 100_000,
+        "the value stays true long enough for a slow network"
+    );
 }
 
 #[test]
@@ -153,10 +161,10 @@
     let list = |asked_after, known, told| may_apply_list(ListVersions { asked_after, known, told });
     assert_eq!(list(3, 3, 3), Ok(()));
     assert_eq!(list(3, 5, 4), Err(ListDenial::Older));
-    assert_eq!(list(3, 5, 2), Ok(()), "discovery counts anew");
+    assert_eq!(list(3, 5, 2), Ok(()), "discovery has restarted its version numbers");
 }
 
-/// Guards the guard: an attempt that breaks a rule is found, and one that keeps all breaks none.
+/// Guards the rule checker itself: it reports each broken rule, and nothing for an attempt that keeps them all.
 #[test]
 fn violations_are_found_and_counted_by_rule() {
     let sound = Written {
--- a/tests/reads.rs
+++ b/tests/reads.rs
@@ -1,4 +1,4 @@
-//! Which members reads go to, by the positions that are known.
+//! Tests of which members reads are sent to, depending on the replication positions that the driver knows.
 
 mod common;
 
@@ -31,10 +31,10 @@
     d.ok(first, Some(1_000_000), true);
     d.position(REPLICA, 1_050_000);
     d.request(3, SESSION, Some(7));
-    assert_eq!(d.sent(3), vec![PRIMARY], "the later write is still out");
+    assert_eq!(d.sent(3), vec![PRIMARY], "the later write is unanswered");
     d.ok(second, Some(1_001_000), true);
     d.request(4, SESSION, Some(7));
-    assert_eq!(d.sent(4), vec![REPLICA], "settled, and the replica has reached it");
+    assert_eq!(d.sent(4), vec![REPLICA], "both writes are answered, and the replica has applied them");
 }
 
 #[test]
@@ -45,16 +45,20 @@
     d.request(1, UNSAFE, Some(7));
     d.at(1_200_000);
     d.end((1, 0, PRIMARY), Ending::Error, None, false);
-    assert_eq!(d.finals(1), 1, "an unsafe write in doubt is failed, never sent again");
+    assert_eq!(d.finals(1), 1, "an unsafe write that may have run fails and is not sent again");
     assert_eq!(d.sent(1).len(), 1);
     d.position(REPLICA, 1_150_000);
     d.at(1_240_000);
     d.request(2, SESSION, Some(7));
     d.settle_probes();
-    assert_eq!(d.sent(2), vec![PRIMARY], "a replica behind the end is not trusted");
+    assert_eq!(
+        d.sent(2),
+        vec![PRIMARY],
+        "a replica whose position is older than the attempt's end may lack the write"
+    );
     d.position(REPLICA, 1_230_000);
     d.request(3, SESSION, Some(7));
-    assert_eq!(d.sent(3), vec![REPLICA], "the bucket is not parked on the primary");
+    assert_eq!(d.sent(3), vec![REPLICA], "the bucket's reads do not stay at the primary");
 }
 
 #[test]
@@ -94,10 +98,10 @@
     d.at(1_000_000);
     d.position(REPLICA, 951_000);
     d.request_since(1, SESSION, Some(7), Some(50_000));
-    assert_eq!(d.sent(1), vec![REPLICA], "commit at 950 ms, a unit for rounding, and it is reached");
+    assert_eq!(d.sent(1), vec![REPLICA], "the commit at 950 ms, rounded up by 1 ms, is applied there");
     d.request_since(2, SESSION, Some(7), Some(49_999));
     d.settle_probes();
-    assert_eq!(d.sent(2), vec![PRIMARY], "a microsecond later it is not");
+    assert_eq!(d.sent(2), vec![PRIMARY], "a commit one microsecond later is not applied there");
 }
 
 #[test]
@@ -117,19 +121,24 @@
 
 #[test]
 fn reads_take_a_primary_with_room_where_the_replicas_have_none() {
-    // Guards the few replicas that keep up while the others lag: they drowned beside an idle primary.
+    // Guards against overloading the few replicas that keep up while others lag: they got all reads although the primary
+    // was idle.
     let mut d = Driver::new(settings(vec![BOUNDED]));
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.position(REPLICA, 0);
     (0..80).for_each(|id| d.request(id, BOUNDED, None));
-    assert_eq!(d.sends_to(REPLICA), 24, "its whole window");
+    assert_eq!(d.sends_to(REPLICA), 24, "the replica's whole window");
     let spilt = d.sends_to(PRIMARY);
-    assert!((10..24).contains(&spilt), "{spilt}: the rest of the room is for what only a primary can do");
+    assert!(
+        (10..24).contains(&spilt),
+        "{spilt}: the rest of the window is kept for requests that only a primary can serve"
+    );
 }
 
 #[test]
 fn read_that_finds_no_member_holds_up_none_that_needs_less() {
-    // Guards the pass over requests that wait: of writes and bounded reads one stands for all, not of session reads.
+    // Guards the scan of waiting requests: if one write or bounded read finds no member, its likes need not be tried, but
+    // session reads differ in the position that they need.
     let mut s = settings(vec![SESSION]);
     s.tokens = Tokens::Carried;
     let mut d = Driver::new(s);
@@ -151,12 +160,13 @@
     d.position(REPLICA, 1);
     d.at(5_000_000);
     d.request(1, BOUNDED, None);
-    assert_eq!(d.sent(1), vec![], "held while a replica is asked");
+    assert_eq!(d.sent(1), vec![], "held while the replica is probed");
     d.position(REPLICA, 4_900_000);
     assert_eq!(d.sent(1), vec![REPLICA]);
 }
 
-/// Guards reads beside a slow probe: one that has waited for it in vain must not wait for the next round, which may refuse it.
+/// Guards against refusing a read because of a slow probe: once the wait for the probe is over, the read must not wait for
+/// the next round, which may refuse it.
 #[test]
 fn read_that_has_waited_for_a_probe_in_vain_goes_to_the_primary_at_once() {
     const ASKED_AT: Micros = 5_000_000;
@@ -168,7 +178,7 @@
     d.request(1, BOUNDED, None);
     assert!(d.is_probing(REPLICA));
     d.run_to(ASKED_AT + PROBE_IS_WAITED_FOR - 1);
-    assert_eq!(d.sent(1), vec![], "held while a replica is asked");
+    assert_eq!(d.sent(1), vec![], "held while the replica is probed");
     d.run_to(ASKED_AT + PROBE_IS_WAITED_FOR);
     assert_eq!(d.sent(1), vec![PRIMARY]);
 }
@@ -186,12 +196,15 @@
         parked += usize::from(to == PRIMARY);
         d.ok((id, 0, to), None, to == PRIMARY);
     }
-    assert!((1..16).contains(&parked), "{parked} of 16,000 sessions share the bucket of one open write");
+    assert!(
+        (1..16).contains(&parked),
+        "{parked} of 16,000 sessions share the bucket of one unanswered write"
+    );
 }
 
 #[test]
 fn read_that_members_cannot_check_takes_no_replica_that_is_only_supposed_to_be_recent() {
-    // Guards against stale answers to plain statements, which carry no position for a replica to check.
+    // Guards against stale answers to plain statements, which carry no position that a replica could check.
     for (checked, expect) in [(true, REPLICA), (false, PRIMARY)] {
         let mut s = settings(vec![SESSION]);
         (s.tokens, s.behind) = (Tokens::Carried, Behind::Refuse);
--- a/tests/wirehost.rs
+++ b/tests/wirehost.rs
@@ -1,4 +1,4 @@
-//! Transcripts of the adapter: what it reads, what it answers, how it complains.
+//! Tests of the simulator's adapter `leadmast-wirehost`: its answers to batches of events, and its error messages.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -54,22 +54,22 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("a pipe");
-    // It may have left at an earlier line.
+        .expect("the adapter can be started");
+    let mut input = child.stdin.take().expect("stdin is piped");
+    // The write fails if the adapter has ended at an earlier line.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
-    child.wait_with_output().expect("it ends")
+    child.wait_with_output().expect("the adapter ends")
 }
 
 fn replies(lines: &[String]) -> Vec<Value> {
     let out = run(lines);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    let text = String::from_utf8(out.stdout).expect("text");
+    let text = String::from_utf8(out.stdout).expect("replies are UTF-8");
     text.lines().map(|l| serde_json::from_str(l).expect("a reply is JSON")).collect()
 }
 
-/// Decisions of one instance in a reply, by name.
+/// The decisions of one instance in a reply that have a given name.
 fn named(reply: &Value, i: u64, name: &str) -> Vec<Value> {
     let groups = reply["groups"].as_array().expect("groups");
     let group = groups.iter().find(|g| g["i"] == json!(i));
@@ -122,7 +122,7 @@
 #[test]
 fn a_miss_is_translated_and_sends_the_write_on() {
     let first = vec![begin(), census(0, 90), saved(), call(1, "put")];
-    // 4 x 3,000 ms + 2: a replica's answer.
+    // 12002 = 4 * 3000 + 2: the position is 3,000 ms after `positionZero`, and a replica answered.
     let done = json!(["COMPLETED", 1, false, 12002, "10.0.0.1:90", 3.5, 404, 0, null]);
     let health = json!(["HEALTH", "10.0.0.2:90", 1.5, 200, [3.9, 1]]);
     let r = replies(&[batch(5000.0, 1, &[(3, first)]), batch(5005.0, 2, &[(3, vec![health, done])])]);
