--- a/crates/gradeshunt/tests/crossings.rs
+++ b/crates/gradeshunt/tests/crossings.rs
@@ -1,4 +1,5 @@
-//! Two events that cross: the bad order is forced, on real connections to a real process. Every step waits for bytes.
+//! Races between two events, played on real connections to a real process: each test forces the order that
+//! did or could go wrong. Every step waits for bytes, not for a time.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,34 +14,35 @@
 use gradeshunt_stand_ins::upgrade::Standing;
 use serde_json::{json, Value};
 
-/// A wait that ends a test which fails, and bounds none that passes.
+/// Time limit of each wait; only a failing test reaches it.
 const PATIENCE: Duration = Duration::from_secs(40);
 
-/// As many clients as would hold all descriptors that the process gets, beside its own.
+/// Number of clients that use up the process's descriptor limit together with the descriptors that it opens
+/// itself.
 const HOLDERS: usize = 36;
 
-/// A process of the program at an address that is known before it runs.
+/// A process of the program that listens at an address chosen before its start.
 struct Program(Standalone);
 
 impl Program {
-    /// Starts it; `shell` comes before its command.
+    /// Starts the process; the shell runs `shell` before the program.
     fn start(name: &str, config: Value, shell: &str, prepare: impl FnOnce(&Path)) -> Program {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_gradeshunt"));
         let start = Start { program, folder, config, shell, environment: Vec::new() };
-        Program(Standalone::start(start, prepare).expect("it starts"))
+        Program(Standalone::start(start, prepare).expect("the program can be started"))
     }
 
     fn addr(&self) -> SocketAddr {
         self.0.addr
     }
 
-    /// Waits for a line of its log.
+    /// Waits for a log line that contains `what`.
     fn until_logged(&self, what: &str) {
         self.0.until_logged(what, PATIENCE);
     }
 
-    /// Connects as soon as its socket listens.
+    /// Connects as soon as the process listens.
     fn connect(&self) -> TcpStream {
         self.0.connect(PATIENCE)
     }
@@ -58,11 +60,12 @@
     }
 
     fn exits(&mut self) {
-        assert!(self.0.ends().expect("it can be waited for").success());
+        assert!(self.0.ends().expect("the process can be waited for").success());
     }
 }
 
-/// Reads up to ReadyForQuery so many times; the types of all messages.
+/// Reads messages until the given number of ReadyForQuery has come, and returns the type bytes of all
+/// messages.
 fn until_ready(stream: &mut TcpStream, times: usize) -> std::io::Result<String> {
     let mut order = String::new();
     while order.matches('Z').count() < times {
@@ -77,82 +80,90 @@
     ))
 }
 
-/// A program whose only db host the test plays, and whose discovery takes calls and says nothing: it knows of no other.
+/// Starts a program whose only db host is played by the test. Discovery accepts its calls and sends nothing,
+/// so the program learns of no other db host. Returns the db host's socket, discovery's socket and the
+/// program.
 fn program_of_one_host(name: &str) -> (TcpListener, TcpListener, Program) {
-    let host = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let site = Site::open(Plan { sets: vec![1], ..Plan::default() }).expect("a site");
+    let host = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let site = Site::open(Plan { sets: vec![1], ..Plan::default() }).expect("the stand-in site starts");
     let mut config = site.config();
-    config["known"]["instances"][0]["hostPort"] = json!(host.local_addr().expect("an address").to_string());
+    config["known"]["instances"][0]["hostPort"] =
+        json!(host.local_addr().expect("the listener has an address").to_string());
     config["settings"]["allowed"]["connectTimeout"] = json!(600_000.0);
-    let deaf = TcpListener::bind("127.0.0.1:0").expect("a port");
-    config["discovery"] = json!(deaf.local_addr().expect("an address").to_string());
+    let deaf = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    config["discovery"] = json!(deaf.local_addr().expect("the listener has an address").to_string());
     let program = Program::start(name, config, "", |_| {});
     (host, deaf, program)
 }
 
-/// What a db host says to a connection that comes up.
+/// A db host's reply to a startup message: AuthenticationOk and ReadyForQuery.
 fn startup_reply() -> Vec<u8> {
     [wire::message(b'R', &[0; 4]), wire::message(b'Z', b"I")].concat()
 }
 
-/// SIGTERM comes before the start is over: who has connected by then is served, and not reset with the socket. The disk
-/// stands, so that the process waits to see its folder.
+/// Guards against resetting clients that connect before a SIGTERM that comes during the start: they are
+/// served first, not reset when the listening socket is closed. The process is kept in its start by a shared
+/// folder whose reads block, as on a disk that does not answer.
 #[test]
 fn sigterm_amid_the_start_resets_nobody() {
-    let site = Site::open(Plan::default()).expect("a site");
+    let site = Site::open(Plan::default()).expect("the stand-in site starts");
     let mut standing = None;
     let mut program = Program::start("amid-start", site.config(), "", |tmp| {
-        // The folder that the processes of `n0` share.
+        // The folder that the processes of `n0` share: its name holds `n0` in hexadecimal.
         let shared = tmp.join("gradeshunt-6e30");
-        std::fs::create_dir(&shared).expect("a folder");
-        standing = Some(Standing::begin(&shared).expect("a pipe"));
+        std::fs::create_dir(&shared).expect("the folder can be made");
+        standing = Some(Standing::begin(&shared).expect("the named pipe can be made"));
     });
     let mut client = program.connect();
-    client.write_all(&[wire::startup(&[("user", "portal")]), wire::query("")].concat()).expect("it is open");
+    client
+        .write_all(&[wire::startup(&[("user", "portal")]), wire::query("")].concat())
+        .expect("the connection is open");
     program.terminate();
-    assert!(until_ready(&mut client, 2).expect("it is answered").ends_with("IZ"));
+    assert!(until_ready(&mut client, 2).expect("the client is answered").ends_with("IZ"));
     drop(standing);
-    assert_eq!(client.read(&mut [0]).expect("an end, and no reset"), 0);
+    assert_eq!(client.read(&mut [0]).expect("a close and no reset"), 0);
     drop(client);
     program.exits();
 }
 
-/// SIGTERM comes twice: the first one counts, and what is out is answered as after one.
+/// Guards against a second SIGTERM that cuts the drain short: requests are still answered as after a single
+/// one.
 #[test]
 fn second_sigterm_changes_nothing() {
-    let site = Site::open(Plan::default()).expect("a site");
+    let site = Site::open(Plan::default()).expect("the stand-in site starts");
     (0..3).for_each(|host| site.sets[0].script(host, Rule::always("page-read", Act::Hang)));
     let mut program = Program::start("terminated-twice", site.config(), "", |_| {});
     drop(program.connect());
     let mut client =
-        Client::connect(program.addr(), &[("user", "portal")], PATIENCE).expect("its session starts");
-    client.stream().write_all(&read_of(1)).expect("it is open");
+        Client::connect(program.addr(), &[("user", "portal")], PATIENCE).expect("the session starts");
+    client.stream().write_all(&read_of(1)).expect("the connection is open");
     program.terminate();
     program.until_logged("terminating");
     program.terminate();
-    assert!(client.until_ready().expect("an answer, and no reset").code().is_some());
+    assert!(client.until_ready().expect("an answer and no reset").code().is_some());
     drop(client);
     program.exits();
 }
 
-/// SIGTERM comes while connections wait for which there is no descriptor: they are accepted as room is made, and not reset
-/// with the socket. Those that hold the descriptors have begun another message, so that none of them makes room before its
-/// time for that is over, long after the socket would be closed.
+/// Guards against resetting connections that wait in the listening socket's queue because the process has no
+/// descriptor left for them when SIGTERM comes: they are accepted as descriptors become free. The clients
+/// that hold the descriptors have begun a message, so none of them is closed before its time to finish it is
+/// over, which is long after the listening socket would have been closed.
 #[test]
 fn sigterm_without_descriptors_resets_nobody() {
-    let site = Site::open(Plan::default()).expect("a site");
+    let site = Site::open(Plan::default()).expect("the stand-in site starts");
     let mut program = Program::start("no-descriptors", site.config(), "ulimit -n 40;", |_| {});
     let asked = [wire::startup(&[("user", "portal")]), wire::query("")].concat();
     let half = [&asked[..], b"Q\0"].concat();
     let connect = |bytes: &[u8]| {
         let mut client = program.connect();
-        client.write_all(bytes).expect("it is open");
+        client.write_all(bytes).expect("the connection is open");
         client
     };
     let mut crowd: Vec<_> = (0..HOLDERS).map(|_| connect(&half)).collect();
     crowd.extend((0..HOLDERS / 2).map(|_| connect(&asked)));
-    // It serves as many as it can.
-    assert!(until_ready(&mut crowd[0], 2).expect("it serves").ends_with("IZ"));
+    // The program has started and serves the clients for which it has descriptors.
+    assert!(until_ready(&mut crowd[0], 2).expect("the program serves").ends_with("IZ"));
     program.terminate();
     let answered = crowd[1..].iter_mut().map(|c| until_ready(c, 2).is_ok_and(|o| o.ends_with("IZ")));
     assert_eq!(answered.filter(|a| *a).count(), HOLDERS + HOLDERS / 2 - 1);
@@ -160,70 +171,75 @@
     program.exits();
 }
 
-/// The platform kills soon after SIGTERM, however long clients would wait: what is still out then has its answer before.
+/// Guards against losing requests that are unanswered when the process has to end: the platform kills it a
+/// fixed time after SIGTERM, whatever the clients' deadlines are, so they get an error before that.
 #[test]
 fn what_is_out_when_the_process_has_to_leave_is_answered() {
-    let site = Site::open(Plan::default()).expect("a site");
+    let site = Site::open(Plan::default()).expect("the stand-in site starts");
     (0..3).for_each(|host| site.sets[0].script(host, Rule::always("page-read", Act::Hang)));
     let mut program = Program::start("has-to-leave", site.config(), "", |_| {});
     drop(program.connect());
     let mut client =
-        Client::connect(program.addr(), &[("user", "portal")], PATIENCE).expect("its session starts");
-    client.stream().write_all(&read_of(1)).expect("it is open");
+        Client::connect(program.addr(), &[("user", "portal")], PATIENCE).expect("the session starts");
+    client.stream().write_all(&read_of(1)).expect("the connection is open");
     program.terminate();
-    let reply = client.until_ready().expect("an answer, and no reset");
+    let reply = client.until_ready().expect("an answer and no reset");
     assert!(reply.code().is_some(), "{reply:?}");
     drop(client);
     program.exits();
 }
 
-/// The same for a value that has begun and stands still: an error would pass for its next bytes. The client gets what there
-/// is of it, and sees by the end that it is not whole.
+/// Guards against an error message in the middle of a value: the db host has sent a part of a row when the
+/// process has to end, and the client would read an ErrorResponse as the row's next bytes. The client gets
+/// the part that has come and then the end of the connection.
 #[test]
 fn value_that_has_begun_breaks_off_when_the_process_has_to_leave() {
     const PART: usize = 80_000;
     let (host, _discovery, mut program) = program_of_one_host("broken-off");
     let mut client = program.connect();
-    client.write_all(&[wire::startup(&[("user", "portal")]), read_of(1)].concat()).expect("it is open");
-    let (mut server, _) = host.accept().expect("it connects");
+    client
+        .write_all(&[wire::startup(&[("user", "portal")]), read_of(1)].concat())
+        .expect("the connection is open");
+    let (mut server, _) = host.accept().expect("the proxy connects");
     wire::read_startup(&mut server).expect("a startup message");
-    server.write_all(&startup_reply()).expect("it is open");
+    server.write_all(&startup_reply()).expect("the connection is open");
     assert_eq!(wire::read(&mut server).expect("a query").0, b'Q');
-    // Of a row of 100,000 bytes most is sent.
+    // The db host sends 80,000 of the row's 100,000 bytes.
     let description = [&[0, 1][..], b"data\0", &[0; 6], &[0, 0, 0, 17], &[255; 6], &[0, 1]].concat();
     let size = 100_000_i32;
     let row = [&b"D"[..], &(size + 10).to_be_bytes(), &[0, 1], &size.to_be_bytes(), &[b'x'; PART]].concat();
-    server.write_all(&[wire::message(b'T', &description), row].concat()).expect("it is open");
-    until_ready(&mut client, 1).expect("its session starts");
+    server.write_all(&[wire::message(b'T', &description), row].concat()).expect("the connection is open");
+    until_ready(&mut client, 1).expect("the session starts");
     assert_eq!(wire::read(&mut client).expect("a description").0, b'T');
     let mut begun = vec![0; 11 + PART];
-    client.read_exact(&mut begun).expect("what has come is passed on");
+    client.read_exact(&mut begun).expect("the part of the row is passed on");
     program.terminate();
     let mut rest = Vec::new();
-    client.read_to_end(&mut rest).expect("an end, and no reset");
+    client.read_to_end(&mut rest).expect("a close and no reset");
     assert!(rest.is_empty(), "{rest:?}");
     drop((client, server));
     program.exits();
 }
 
-/// A client that rests among others is closed, and its next request crosses that: it sees a close, and no reset, which would
-/// take its last answer with it. The process is stopped as soon as the close shows, so that it can read nothing meanwhile.
+/// Guards against resetting an idle client that is closed to make room and sends a request at the same
+/// moment: a reset would discard an answer that it has not read yet, so it must see a plain close. The test
+/// stops the process as soon as it sees the close, so that the process cannot read the request.
 #[test]
 fn request_that_crosses_the_close_of_an_idle_client_resets_nothing() {
-    let site = Site::open(Plan::default()).expect("a site");
+    let site = Site::open(Plan::default()).expect("the stand-in site starts");
     let mut config = site.config();
     config["limits"]["sockets"] = json!(64);
     let program = Program::start("crossed", config, "", |_| {});
     let asked = [wire::startup(&[("user", "portal")]), wire::query("")].concat();
     let rest = |_| {
         let mut client = program.connect();
-        client.write_all(&asked).expect("it is open");
+        client.write_all(&asked).expect("the connection is open");
         client
     };
     let mut clients: Vec<_> = (0..16).map(rest).collect();
-    // The longest idle one goes first; its answers stand unread before the close.
+    // The client that has been idle longest is closed first; its answers are still unread.
     let client = &mut clients[0];
-    assert!(until_ready(client, 2).expect("it is answered").ends_with("IZ"));
+    assert!(until_ready(client, 2).expect("the client is answered").ends_with("IZ"));
     assert_eq!(client.read(&mut [0]).expect("a close"), 0);
     program.stop();
     let crossing = (0..2).map(|_| client.write_all(&read_of(1)));
@@ -232,8 +248,9 @@
     program.signal("-CONT");
 }
 
-/// A client fills all that is held for it, and a little of what the kernel holds, and leaves. Its end can't be read behind
-/// what it has sent: it is noticed all the same, and its request, which waits for a connection, is not sent on.
+/// Guards against missing the end of a client whose unread bytes fill the proxy's buffer for it and a part of
+/// the kernel's: the proxy cannot read up to the end of the stream, but has to notice that the client has
+/// left. The client's request, which waits for a connection to the db host, is then not sent.
 #[test]
 fn client_that_floods_and_leaves_has_left() {
     let (host, _discovery, program) = program_of_one_host("flood");
@@ -244,17 +261,17 @@
         bytes.extend(read_of(bytes.len()));
     }
     flood.write_all(&bytes).expect("the kernel takes it");
-    let (mut first, _) = host.accept().expect("it connects");
+    let (mut first, _) = host.accept().expect("the proxy connects");
     wire::read_startup(&mut first).expect("a startup message");
-    // It is gone for the program once that has closed its side.
-    flood.shutdown(Shutdown::Write).expect("it is open");
+    // The program has noticed that the client left once it has closed its side.
+    flood.shutdown(Shutdown::Write).expect("the connection is open");
     let mut rest = Vec::new();
     let _ = flood.read_to_end(&mut rest);
-    first.set_read_timeout(Some(PATIENCE)).expect("it can be set");
-    first.write_all(&startup_reply()).expect("it is open");
+    first.set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
+    first.write_all(&startup_reply()).expect("the connection is open");
     let mut client =
-        Client::connect(program.addr(), &[("user", "portal")], PATIENCE).expect("its session starts");
-    client.stream().write_all(&read_of(7)).expect("it is open");
+        Client::connect(program.addr(), &[("user", "portal")], PATIENCE).expect("the session starts");
+    client.stream().write_all(&read_of(7)).expect("the connection is open");
     let (tag, body) = wire::read(&mut first).expect("a query");
     assert!(
         tag == b'Q' && String::from_utf8_lossy(&body).contains("id=7,"),
@@ -263,7 +280,7 @@
     );
 }
 
-/// Reads the next statement of a client that reaches a db host, and passes over what the proxy asks for itself.
+/// Reads the next client's statement that reaches a db host, and answers the proxy's own queries before it.
 fn next_statement(server: &mut TcpStream) -> String {
     loop {
         let (tag, body) = wire::read(server).expect("a query");
@@ -272,13 +289,15 @@
             return text;
         }
         let nothing = Table::of(&["x0", "x1"], &[&["0", "0"]]);
-        server.write_all(&[wire::table(&nothing), wire::message(b'Z', b"I")].concat()).expect("it is open");
+        server
+            .write_all(&[wire::table(&nothing), wire::message(b'Z', b"I")].concat())
+            .expect("the connection is open");
     }
 }
 
-/// Ten requests stand behind one that is held until their time is over: each is refused as its turn comes, and none of them
-/// reaches the db host. That their time is over shows by another client's request, which is sent later, waits longer and
-/// is answered first.
+/// Guards against sending pipelined requests whose deadlines have passed: ten requests wait behind one that
+/// is held until their deadlines are over, and each is refused when it is handled. The deadlines have passed
+/// once another client's request, which was sent later and has a longer deadline, has been answered.
 #[test]
 fn pipeline_whose_time_is_over_is_answered_and_never_sent() {
     let (host, _discovery, program) = program_of_one_host("pipeline");
@@ -290,44 +309,53 @@
     let pipeline = (2..12).flat_map(|id| read_within(id, 1));
     let bytes: Vec<u8> =
         wire::startup(&[("user", "portal")]).into_iter().chain(read_of(1)).chain(pipeline).collect();
-    client.write_all(&bytes).expect("it is open");
-    let (mut server, _) = host.accept().expect("it connects");
-    server.set_read_timeout(Some(PATIENCE)).expect("it can be set");
+    client.write_all(&bytes).expect("the connection is open");
+    let (mut server, _) = host.accept().expect("the proxy connects");
+    server.set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
     wire::read_startup(&mut server).expect("a startup message");
-    server.write_all(&startup_reply()).expect("it is open");
+    server.write_all(&startup_reply()).expect("the connection is open");
     assert!(next_statement(&mut server).contains("id=1,"));
 
     let mut other =
-        Client::connect(program.addr(), &[("user", "portal")], PATIENCE).expect("its session starts");
-    other.stream().write_all(&read_within(100, 200)).expect("it is open");
+        Client::connect(program.addr(), &[("user", "portal")], PATIENCE).expect("the session starts");
+    other.stream().write_all(&read_within(100, 200)).expect("the connection is open");
     assert!(other.until_ready().expect("an answer").code().is_some());
 
     let row = Table { tag: "SELECT 1".to_owned(), ..Table::of(&["data"], &[&["v"]]) };
-    server.write_all(&[wire::table(&row), wire::message(b'Z', b"I")].concat()).expect("it is open");
-    client.write_all(&read_of(12)).expect("it is open");
-    assert!(next_statement(&mut server).contains("id=12,"), "what was over is not sent on");
+    server
+        .write_all(&[wire::table(&row), wire::message(b'Z', b"I")].concat())
+        .expect("the connection is open");
+    client.write_all(&read_of(12)).expect("the connection is open");
+    assert!(
+        next_statement(&mut server).contains("id=12,"),
+        "requests whose deadline has passed are not sent"
+    );
     until_ready(&mut client, 2).expect("the startup reply, and the first answer");
     for id in 2..12 {
         let (tag, body) = wire::read(&mut client).expect("an answer");
         assert_eq!((tag, wire::field(&body, b'C').as_deref()), (b'E', Some("53300")), "request {id}");
-        assert_eq!(until_ready(&mut client, 1).expect("it may go on"), "Z");
+        assert_eq!(until_ready(&mut client, 1).expect("the client may send on"), "Z");
     }
 }
 
-/// A client leaves while the process stands, and the connection for which its request waits comes up in the same time: the
-/// request is not sent on, whichever of the two came first. The next client's is.
+/// While the process is stopped, a client leaves and the connection that its request waits for comes up, in
+/// the order that `meanwhile` gives. The request must not be sent in either order; the next client's request
+/// is.
 fn leaves_while_the_process_stands(name: &str, meanwhile: impl Fn(&mut TcpStream, &mut TcpStream)) {
     let (host, _discovery, program) = program_of_one_host(name);
     let mut client = program.connect();
-    client.write_all(&[wire::startup(&[("user", "portal")]), read_of(1)].concat()).expect("it is open");
-    let (mut server, _) = host.accept().expect("it connects");
+    client
+        .write_all(&[wire::startup(&[("user", "portal")]), read_of(1)].concat())
+        .expect("the connection is open");
+    let (mut server, _) = host.accept().expect("the proxy connects");
     wire::read_startup(&mut server).expect("a startup message");
-    server.set_read_timeout(Some(PATIENCE)).expect("it can be set");
+    server.set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
     program.stop();
     meanwhile(&mut client, &mut server);
     program.signal("-CONT");
-    let mut next = Client::connect(program.addr(), &[("user", "portal")], PATIENCE).expect("it is welcome");
-    next.stream().write_all(&read_of(7)).expect("it is open");
+    let mut next =
+        Client::connect(program.addr(), &[("user", "portal")], PATIENCE).expect("the session starts");
+    next.stream().write_all(&read_of(7)).expect("the connection is open");
     let (tag, body) = wire::read(&mut server).expect("a query");
     let body = String::from_utf8_lossy(&body);
     assert!(tag == b'Q' && body.contains("id=7,"), "{body}");
@@ -336,47 +364,48 @@
 #[test]
 fn client_that_leaves_before_its_connection_comes_up_gets_no_attempt() {
     leaves_while_the_process_stands("left-first", |client, server| {
-        client.shutdown(Shutdown::Both).expect("it is open");
-        server.write_all(&startup_reply()).expect("it is open");
+        client.shutdown(Shutdown::Both).expect("the connection is open");
+        server.write_all(&startup_reply()).expect("the connection is open");
     });
 }
 
 #[test]
 fn client_that_leaves_after_its_connection_came_up_gets_no_attempt() {
     leaves_while_the_process_stands("left-second", |client, server| {
-        server.write_all(&startup_reply()).expect("it is open");
-        client.shutdown(Shutdown::Both).expect("it is open");
+        server.write_all(&startup_reply()).expect("the connection is open");
+        client.shutdown(Shutdown::Both).expect("the connection is open");
     });
 }
 
-/// Listens there, and waits for a connection no longer than a test that fails may take.
+/// Listens at an address; accepting a connection there times out after [`PATIENCE`].
 fn listen_at(addr: SocketAddr) -> TcpListener {
     let listener = TcpListener::bind(addr).expect("the port is free");
-    socket2::SockRef::from(&listener).set_read_timeout(Some(PATIENCE)).expect("it can be set");
+    socket2::SockRef::from(&listener).set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
     listener
 }
 
-/// How discovery's answer to a watch begins.
+/// The head of discovery's answer to a watch.
 const WATCH_BEGINS: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Discovery takes a call, and tells the whole list on a watch that stays open.
+/// Accepts a call to discovery and sends the whole list on a watch that stays open.
 fn tell(discovery: &TcpListener, list: &Value) -> TcpStream {
-    let (mut watch, _) = discovery.accept().expect("a call");
+    let (mut watch, _) = discovery.accept().expect("the proxy calls discovery");
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        watch.read_exact(&mut byte).expect("a head");
+        watch.read_exact(&mut byte).expect("the head of a request");
         head.extend(byte);
     }
     let line = format!("{list}\n");
-    watch.write_all(WATCH_BEGINS).expect("it is open");
-    write!(watch, "{:x}\r\n{line}\r\n", line.len()).expect("it is open");
+    watch.write_all(WATCH_BEGINS).expect("the connection is open");
+    write!(watch, "{:x}\r\n{line}\r\n", line.len()).expect("the connection is open");
     watch
 }
 
-/// A program that knows of no db host, while discovery is down.
+/// Starts a program that knows no db host while discovery is down; also returns the address that discovery
+/// will use.
 fn program_without_a_list(name: &str, shell: &str, sockets: u32) -> (Site, SocketAddr, Program) {
-    let site = Site::open(Plan { sockets, ..Plan::default() }).expect("a site");
+    let site = Site::open(Plan { sockets, ..Plan::default() }).expect("the stand-in site starts");
     let mut config = site.config();
     let discovery = own_address();
     config["discovery"] = json!(discovery.to_string());
@@ -385,7 +414,7 @@
     (site, discovery, program)
 }
 
-/// Whether a request is served; where there is no room for its client, it is not.
+/// Whether a request of a new client is served; it is not if the program refuses the client.
 fn is_served(program: &Program, id: usize) -> bool {
     let Ok(mut client) = Client::connect(program.addr(), &[("user", "portal")], PATIENCE) else {
         return false;
@@ -394,10 +423,11 @@
     asked.is_ok() && client.until_ready().is_ok_and(|reply| reply.code().is_none())
 }
 
-/// Clients hold all descriptors that they may while discovery is down: each has begun a message, so that none makes room
-/// before its time for that is over. Once discovery is back, the process still has a descriptor for its call, and some for db
-/// hosts, of which it knew none before: it hears the list, and serves whoever is let in. The system gives it no more than its
-/// settings say.
+/// Guards the descriptors that the process reserves for discovery and for db hosts. While discovery is down,
+/// clients take all descriptors that clients may have; each has begun a message, so none is closed before its
+/// time to finish it is over. The process knows no db host yet, and the system's descriptor limit is the one
+/// in its settings. Once discovery is back, the process receives the list and serves the clients that it
+/// accepts.
 #[test]
 fn discovery_is_heard_and_db_hosts_are_reached_while_clients_hold_all_descriptors() {
     const DESCRIPTORS: u32 = 64;
@@ -406,7 +436,7 @@
     let half = [wire::startup(&[("user", "portal")]), b"Q\0".to_vec()].concat();
     let hold = |_| {
         let mut client = program.connect();
-        client.write_all(&half).expect("it is open");
+        client.write_all(&half).expect("the connection is open");
         client
     };
     let crowd: Vec<_> = (0..DESCRIPTORS).map(hold).collect();
@@ -414,7 +444,7 @@
     let _watch = tell(&listen_at(discovery), &site.discovery.whole());
     program.until_logged("list of db hosts");
     drop(crowd);
-    assert!((1..=100).any(|id| is_served(&program, id)), "no client was let in, or none reached a db host");
+    assert!((1..=100).any(|id| is_served(&program, id)), "no client was accepted, or none reached a db host");
     program.terminate();
     program.exits();
 }
@@ -422,15 +452,15 @@
 /// What discovery does while a process starts.
 #[derive(Clone, Copy, Debug)]
 enum DiscoveryIs {
-    /// It refuses connections.
+    /// Refuses connections.
     Down,
-    /// It takes calls and says nothing.
+    /// Accepts calls and sends nothing.
     Silent,
-    /// It begins an answer, of which a list never becomes whole.
+    /// Begins an answer and does not complete the list.
     Slow,
 }
 
-/// A process that has just started, at a site whose discovery the test plays, and discovery's part in it.
+/// A process that has just started, at a site whose discovery is played by the test.
 struct Started {
     site: Site,
     discovery_is: DiscoveryIs,
@@ -440,9 +470,9 @@
 }
 
 impl Started {
-    /// `known`: its configuration has the list of db hosts.
+    /// Starts the process; `known` says whether its configuration holds the list of db hosts.
     fn open(discovery_is: DiscoveryIs, mode: &str, known: bool) -> Started {
-        let site = Site::open(Plan::default()).expect("a site");
+        let site = Site::open(Plan::default()).expect("the stand-in site starts");
         let mut config = site.config();
         config["settings"]["membershipMode"] = json!(mode);
         if !known {
@@ -453,22 +483,24 @@
         let listener = if let DiscoveryIs::Down = discovery_is { None } else { Some(listen_at(discovery)) };
         let name = format!("ready-{discovery_is:?}-{mode}-{known}");
         let program = Program::start(&name, config, "", |_| {});
-        let mut call = listener.map(|l| l.accept().expect("a call").0);
+        let mut call = listener.map(|l| l.accept().expect("the proxy calls discovery").0);
         if let (DiscoveryIs::Slow, Some(call)) = (discovery_is, &mut call) {
-            call.write_all(WATCH_BEGINS).and_then(|()| call.write_all(b"1\r\n{\r\n")).expect("it is open");
+            call.write_all(WATCH_BEGINS)
+                .and_then(|()| call.write_all(b"1\r\n{\r\n"))
+                .expect("the connection is open");
         }
         Started { site, discovery_is, discovery, call, program }
     }
 
-    /// The messages that answer the empty query on a new connection.
+    /// The types of the messages that answer a startup message and an empty query on a new connection.
     fn answer_to_the_empty_query(&self) -> String {
         let mut client = self.program.connect();
         let asked = [wire::startup(&[("user", "portal")]), wire::query("")].concat();
-        client.write_all(&asked).expect("it is open");
-        until_ready(&mut client, 2).expect("it is answered")
+        client.write_all(&asked).expect("the connection is open");
+        until_ready(&mut client, 2).expect("the client is answered")
     }
 
-    /// Discovery tells the whole list: on the call that waits for it, or on the next one.
+    /// Sends the whole list on the open call, or on the next one if there is none.
     fn list_is_told(&mut self) {
         let list = format!("{}\n", self.site.discovery.whole());
         let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
@@ -486,14 +518,15 @@
     }
 }
 
-/// Each way in which discovery fails to tell the list, where it is asked and where it pushes.
+/// Each way in which discovery fails to deliver the list, with each membership mode.
 fn discoveries() -> impl Iterator<Item = (DiscoveryIs, &'static str)> {
     let modes = |is| ["on_request", "pushed"].map(|mode| (is, mode));
     [DiscoveryIs::Down, DiscoveryIs::Silent, DiscoveryIs::Slow].into_iter().flat_map(modes)
 }
 
-/// A process that starts alone with the list of its configuration is ready whatever discovery does: that has told it nothing
-/// yet when it answers the empty query, and a call's silence, 600 s here, is not over.
+/// Guards against a start that waits for discovery: a process whose configuration holds the list of db hosts
+/// is ready whatever discovery does. It answers the empty query before discovery has sent anything and long
+/// before the call's silence timeout, which is 600 s here.
 #[test]
 fn process_that_starts_with_a_list_is_ready_before_discovery_says_anything() {
     for (discovery_is, mode) in discoveries() {
@@ -503,7 +536,8 @@
     }
 }
 
-/// One without a list has nobody to send a request to, and says so; it is ready once it is told one.
+/// A process without a list cannot send a request anywhere, so it answers the empty query with an error until
+/// discovery has sent it a list.
 #[test]
 fn process_that_starts_without_a_list_is_ready_once_it_is_told_one() {
     for (discovery_is, mode) in discoveries() {
@@ -517,12 +551,13 @@
     }
 }
 
-/// While the process stands a request comes, and then the list that says that its only db host drains: it is not sent on, though
-/// a connection to that host rests. The connection is closed.
+/// Guards against sending a request to a db host after its drain has been announced. While the process is
+/// stopped, a request comes and then a list in which the only db host drains. The request is not sent
+/// although an idle connection to that host exists, and the connection is closed.
 #[test]
 fn request_that_comes_just_before_a_drain_is_not_sent_there() {
     let (host, discovery, program) = program_of_one_host("drains-meanwhile");
-    let address = host.local_addr().expect("an address").to_string();
+    let address = host.local_addr().expect("the listener has an address").to_string();
     let list = |generation: u32, lifecycle: &str| {
         let mut entry = entry("s-1-0", &address, 1, true);
         entry["lifecycle"] = json!(lifecycle);
@@ -530,24 +565,31 @@
     };
     let mut watch = tell(&discovery, &list(2, "ready"));
     let mut client = program.connect();
-    client.write_all(&[wire::startup(&[("user", "portal")]), read_of(1)].concat()).expect("it is open");
-    let (mut server, _) = host.accept().expect("it connects");
-    server.set_read_timeout(Some(PATIENCE)).expect("it can be set");
+    client
+        .write_all(&[wire::startup(&[("user", "portal")]), read_of(1)].concat())
+        .expect("the connection is open");
+    let (mut server, _) = host.accept().expect("the proxy connects");
+    server.set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
     wire::read_startup(&mut server).expect("a startup message");
-    server.write_all(&startup_reply()).expect("it is open");
+    server.write_all(&startup_reply()).expect("the connection is open");
     assert!(next_statement(&mut server).contains("id=1,"));
     let row = Table { tag: "SELECT 1".to_owned(), ..Table::of(&["data"], &[&["v"]]) };
-    server.write_all(&[wire::table(&row), wire::message(b'Z', b"I")].concat()).expect("it is open");
+    server
+        .write_all(&[wire::table(&row), wire::message(b'Z', b"I")].concat())
+        .expect("the connection is open");
     until_ready(&mut client, 2).expect("the startup reply, and the first answer");
 
     program.stop();
-    client.write_all(&read_of(2)).expect("it is open");
+    client.write_all(&read_of(2)).expect("the connection is open");
     let line = format!("{}\n", list(3, "draining"));
-    write!(watch, "{:x}\r\n{line}\r\n", line.len()).expect("it is open");
+    write!(watch, "{:x}\r\n{line}\r\n", line.len()).expect("the connection is open");
     program.signal("-CONT");
     let end = loop {
         match wire::read(&mut server) {
-            Ok((_, body)) => assert!(!String::from_utf8_lossy(&body).contains("id=2,"), "it drains"),
+            Ok((_, body)) => assert!(
+                !String::from_utf8_lossy(&body).contains("id=2,"),
+                "request 2 was sent to a draining host"
+            ),
             Err(end) => break end,
         }
     };
--- a/crates/gradeshunt/tests/exchanges.rs
+++ b/crates/gradeshunt/tests/exchanges.rs
@@ -1,17 +1,24 @@
-//! Recorded exchanges: the files under `tests/exchanges/` are played against the program, and all that it sends
-//! is compared with the snapshots. Every step waits for bytes, none for time.
+//! Recorded exchanges: the files under `tests/exchanges/` are played against the program, and everything that
+//! it sends is compared with the snapshots. Every step waits for bytes, not for a time.
 //!
-//! A file begins with the db hosts (`hosts: 1=primary 2=standby`, or none), maybe limits of its own (`memory_mb: 0`,
-//! `sockets: 64`), `held: 1` where the platform holds the clients' socket, `set: /settings/tick 5` for a value of the
-//! configuration, and then holds a step a line:
+//! A file begins with the db hosts (`hosts: 1=primary 2=standby`, or none). Optional lines follow: limits
+//! (`memory_mb: 0`, `sockets: 64`), `held: 1` if the platform holds the clients' listening socket, and `set:
+//! /settings/tick 5` for each changed value of the configuration. Then each line is a step:
 //!
-//! - `a connects`: a client (`a connects 40`: so many); `o calls`: an operator (`o calls 40`); `1 accepts x`, `discovery accepts w`: what the program opens;
-//! - `a> Q|text`: a message with its length filled in; `a> startup|text`, `a> raw|bytes`, `a> chunk|text`, `a> row|value`;
-//!   `Q 1000|text` puts so many spaces before it; `a+ ...`: the same, kept back to go in one piece with the next; `{1}` stands for a db host's address;
-//! - `a< Z`: whole messages up to this one; `a< startup`, `a< head`, `a< 1` (bytes) and `a< end`;
+//! - `a connects`: a client connects (`a connects 40`: 40 clients `a0` to `a39`); `o calls`: an operator does
+//!   (`o calls 40`); `1 accepts x`, `discovery accepts w`: db host 1 or discovery accepts a connection that
+//!   the program opens;
+//! - `a> Q|text`: sends a message whose length is filled in; `a> startup|text`, `a> raw|bytes`, `a>
+//!   chunk|text` and `a> row|value` send other data; `Q 1000|text` puts 1,000 spaces before the text; `a+
+//!   ...` holds the data back and sends it in one piece with the next; `{1}` stands for the address of db
+//!   host 1;
+//! - `a< Z`: reads whole messages up to one of this type; `a< startup`, `a< head`, `a< 1` (a number of bytes)
+//!   and `a< end` read other data;
 //! - `a closes`, `a resets`, `SIGTERM`, `exits`;
-//! - `upgrade`: a second process starts, and operators call it from now on; `serves`: it serves; SIGTERM and `exits` go to the first;
-//! - `SIGHUP moved`: the configuration names discovery at another address (`moved`); `SIGHUP text` makes it that text.
+//! - `upgrade`: a second process starts, and operators call that one from now on; `serves`: waits until it
+//!   serves. SIGTERM and `exits` then refer to the first process;
+//! - `SIGHUP moved`: the configuration names discovery's other address (`moved`); `SIGHUP text` replaces the
+//!   configuration with the text.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -24,12 +31,13 @@
 use gradeshunt_stand_ins::postgres::wire;
 use serde_json::{json, Value};
 
-/// Which deployment's settings the program gets. docs/deployments.md tells how they differ.
+/// The deployment whose settings the program gets (docs/deployments.md describes how they differ).
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Site {
-    /// Keyed writes, db hosts that turn reads away for which they lag, roles in the list.
+    /// Keyed writes, db hosts that refuse a read if their data is too old for it, roles in the member list.
     Keyed,
-    /// Writes that must never run twice, db hosts that answer from what they have, no roles in the list, tenants.
+    /// Writes that must never run twice, db hosts that answer a read however old their data is, no roles in
+    /// the member list, tenants.
     Shared,
 }
 
@@ -41,7 +49,7 @@
         }
     }
 
-    /// The files name the first deployment's classes.
+    /// Replaces the class names in a line, which are those of [`Site::Keyed`], by this deployment's.
     fn translate(self, line: &str) -> String {
         match self {
             Site::Keyed => line.to_owned(),
@@ -59,7 +67,8 @@
          "repeat": "pure", "slo": 20000.0, "worth": 2.0},
         {"deadline": 600000.0, "group": "all", "keyTtl": 0.0, "lateWorth": 0.3, "name": "contact-entry",
          "repeat": "side_effect", "slo": 5000.0, "worth": 3.0}]);
-    // One request within the share, and the next a thousand seconds later.
+    // At 0.001 requests a second only the first request is within the share: the next one would be a thousand
+    // seconds later.
     settings["customers"] = json!([{"name": "north", "quotaRps": 0.001, "fraction": 0.6},
         {"name": "south", "quotaRps": 1000.0, "fraction": 0.4}]);
     settings["overShareWorth"] = json!(0.1);
@@ -93,16 +102,17 @@
     })
 }
 
-/// Written in one piece by the play itself.
+/// Fewer bytes than this are written by the test's own thread.
 const AT_ONCE: usize = 16 * 1024;
 
-/// The program and everyone who speaks with it.
+/// The program with the clients, operators, db hosts and discovery that a file plays.
 struct Stage {
     program: Child,
-    /// The process before an upgrade, and the socket that both get.
+    /// The process from before an upgrade.
     former: Option<Child>,
+    /// The listening socket that the platform holds and passes to each process.
     held: Option<TcpListener>,
-    /// What the program logs.
+    /// The program's log, line by line.
     log: Receiver<String>,
     config: Value,
     file: PathBuf,
@@ -132,18 +142,18 @@
         held: bool,
         set: &[(String, Value)],
     ) -> Stage {
-        let listen = || TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listen = || TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let mut listeners = BTreeMap::from(["discovery", "moved"].map(|n| (n.to_owned(), listen())));
         let mut known = Vec::new();
         for (name, role) in hosts.split_whitespace().filter_map(|h| h.split_once('=')) {
             let listener = listen();
-            let address = listener.local_addr().expect("an address").to_string();
+            let address = listener.local_addr().expect("the listener has an address").to_string();
             known.push(json!({"instanceId": format!("s-{name}"), "hostPort": address, "zone": "here", "cell": 1,
                 "machineType": "m", "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0, "replication": role}));
             listeners.insert(name.to_owned(), listener);
         }
         let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "7", "settings": site.settings(),
-            "discovery": listeners["discovery"].local_addr().expect("an address").to_string(),
+            "discovery": listeners["discovery"].local_addr().expect("the listener has an address").to_string(),
             "watch_silence_ms": 600000,
             "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
             "known": {"generation": 41, "reset": true, "instances": known}});
@@ -151,12 +161,12 @@
             *config.pointer_mut(path).expect("the configuration has it") = value.clone();
         }
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-        let port = listeners["discovery"].local_addr().expect("an address").port();
+        let port = listeners["discovery"].local_addr().expect("the listener has an address").port();
         let file = dir.join(format!("config-{}-{port}.json", std::process::id()));
-        std::fs::write(&file, config.to_string()).expect("a file");
+        std::fs::write(&file, config.to_string()).expect("the file can be written");
         let shared = file.with_extension("d");
         let _ = std::fs::remove_dir_all(&shared);
-        std::fs::create_dir_all(&shared).expect("a folder");
+        std::fs::create_dir_all(&shared).expect("the folder can be made");
         let held = held.then(listen);
         let (program, log) = start(&file, held.as_ref());
         let mut stage = Stage {
@@ -178,12 +188,12 @@
         stage
     }
 
-    /// Waits for a line of the program's log.
+    /// Waits for a log line that contains `what`.
     fn logged(&self, what: &str) -> String {
-        self.log.iter().find(|l| l.contains(what)).expect("the program logs it")
+        self.log.iter().find(|l| l.contains(what)).expect("the program logs the line")
     }
 
-    /// Whoever is told to end: the former process, once there are two.
+    /// The process that SIGTERM and `exits` refer to: the former one during an upgrade.
     fn former(&mut self) -> &mut Child {
         self.former.as_mut().unwrap_or(&mut self.program)
     }
@@ -196,10 +206,11 @@
             if line.starts_with(&format!("{who}>")) {
                 let bytes = std::mem::take(&mut self.kept_back);
                 if bytes.len() < AT_ONCE {
-                    (&self.peers[who]).write_all(&bytes).expect("the program takes it");
+                    (&self.peers[who]).write_all(&bytes).expect("the program accepts the bytes");
                 } else {
-                    // More than the program takes before somebody else reads what comes of it.
-                    let mut peer = self.peers[who].try_clone().expect("another descriptor");
+                    // The program may stop reading until another peer has read what it passes on, so a thread
+                    // writes.
+                    let mut peer = self.peers[who].try_clone().expect("the socket can be duplicated");
                     std::thread::spawn(move || peer.write_all(&bytes));
                 }
             }
@@ -227,20 +238,21 @@
                 let (peer, _) = self.listeners[who].accept().expect("the program connects");
                 self.peers.insert(name.to_owned(), patient(peer));
             }
-            ("closes", _) => self.peers[who].shutdown(Shutdown::Both).expect("it is open"),
+            ("closes", _) => self.peers[who].shutdown(Shutdown::Both).expect("the connection is open"),
             ("resets", _) => {
-                let peer = self.peers.remove(who).expect("it is open");
+                let peer = self.peers.remove(who).expect("the connection is open");
                 let zero = Some(std::time::Duration::ZERO);
-                socket2::SockRef::from(&peer).set_linger(zero).expect("it can be set");
+                socket2::SockRef::from(&peer).set_linger(zero).expect("the socket option can be set");
             }
             _ if who == "SIGTERM" => self.signal("-TERM"),
             _ if who == "SIGHUP" => {
                 if let Some(moved) = self.listeners.get(rest) {
-                    self.config["discovery"] = json!(moved.local_addr().expect("an address").to_string());
+                    self.config["discovery"] =
+                        json!(moved.local_addr().expect("the listener has an address").to_string());
                 }
                 let known = self.listeners.contains_key(rest);
                 let text = if known { self.config.to_string() } else { rest.to_owned() };
-                std::fs::write(&self.file, text).expect("a file");
+                std::fs::write(&self.file, text).expect("the file can be written");
                 self.signal("-HUP");
             }
             _ if who == "upgrade" => {
@@ -251,7 +263,7 @@
             }
             _ if who == "serves" => drop(self.logged("serving")),
             _ if who == "exits" => {
-                let status = self.former().wait().expect("it can be waited for");
+                let status = self.former().wait().expect("the process can be waited for");
                 self.record += &format!("  {status}\n");
             }
             _ => panic!("not a step: {who} {rest}"),
@@ -268,7 +280,7 @@
         addresses.fold(text.to_owned(), |t, (n, a)| t.replace(&format!("{{{n}}}"), &a.to_string()))
     }
 
-    /// Takes out what differs from run to run, addresses and what is left of the client's wait, and long padding.
+    /// Replaces what differs between runs (addresses and the remaining wait of a statement) and long padding.
     fn make_plain(&self, heard: &str) -> String {
         let addresses = self.listeners.iter().filter_map(|(n, l)| Some((n, l.local_addr().ok()?)));
         let text =
@@ -281,26 +293,26 @@
         };
         let Some((before, after)) = text.split_once(",d=") else { return text };
         let rest = after.trim_start_matches(|c: char| c.is_ascii_digit());
-        let wait: u32 = after[..after.len() - rest.len()].parse().expect("a wait");
-        assert!((1..=600_000).contains(&wait), "the wait {wait} is no client's");
+        let wait: u32 = after[..after.len() - rest.len()].parse().expect("a wait in milliseconds");
+        assert!((1..=600_000).contains(&wait), "the wait of {wait} ms exceeds the client's or is 0");
         format!("{before},d=<wait>{rest}")
     }
 }
 
-/// A play that waits for what never comes fails, and does not hang.
+/// Sets a read timeout, so that a test that waits for bytes which never come fails instead of hanging.
 fn patient(peer: TcpStream) -> TcpStream {
-    peer.set_read_timeout(Some(std::time::Duration::from_secs(120))).expect("it can be set");
+    peer.set_read_timeout(Some(std::time::Duration::from_secs(120))).expect("the socket option can be set");
     peer
 }
 
-/// Starts the program, on descriptor 7 where the platform holds its socket, and reads its log: someone has to, or it
-/// could not be written.
+/// Starts the program, which gets the listening socket as descriptor 7 if the platform holds one. A thread
+/// reads its log, since the program's writes fail or block once the pipe is full.
 fn start(file: &Path, held: Option<&TcpListener>) -> (Child, Receiver<String>) {
     let mut command = Command::new("/bin/sh");
     command.env_remove("ROUTER_LISTEN_FD");
     command.arg("-c").arg(if held.is_some() { "exec \"$0\" 7<&0 </dev/null" } else { "exec \"$0\"" });
     if let Some(held) = held {
-        let socket = held.try_clone().expect("another descriptor");
+        let socket = held.try_clone().expect("the socket can be duplicated");
         command.env("ROUTER_LISTEN_FD", "7").stdin(Stdio::from(OwnedFd::from(socket)));
     }
     let mut program = command
@@ -312,18 +324,18 @@
         .spawn()
         .expect("the program starts");
     let (tell, log) = channel();
-    let lines = BufReader::new(program.stderr.take().expect("a pipe")).lines();
+    let lines = BufReader::new(program.stderr.take().expect("stderr is piped")).lines();
     std::thread::spawn(move || lines.for_each(|l| drop(tell.send(l.unwrap_or_default()))));
     (program, log)
 }
 
-/// An address in a line of the log.
+/// The value of a field in a log line.
 fn named(line: &str, what: &str) -> String {
-    let text = line.split_once(&format!("{what}: ")).expect("the line names it").1;
+    let text = line.split_once(&format!("{what}: ")).expect("the line has the field").1;
     text.split(',').next().unwrap_or_default().to_owned()
 }
 
-/// The bytes of one message in a file.
+/// Encodes a message from the text in a file.
 fn encode(text: &str) -> Vec<u8> {
     let (kind, text) = text.split_once('|').expect("kind|text");
     let (kind, padding) = kind.split_once(' ').map_or((kind, 0), |(k, n)| (k, n.parse().expect("a number")));
@@ -339,7 +351,7 @@
     }
 }
 
-/// An answer of one row of one column.
+/// The messages of a result with one row and one column.
 fn row(value: &[u8]) -> Vec<u8> {
     let message = |tag: u8, parts: &[&[u8]]| {
         let body = parts.concat();
@@ -368,20 +380,22 @@
     bytes
 }
 
-/// Whether more stands unread: an empty query before a request comes with it.
+/// Whether more bytes are unread: the program sends the empty query before a request in one piece with the
+/// request.
 fn has_more(peer: &TcpStream) -> bool {
-    peer.set_nonblocking(true).expect("it can be set");
+    peer.set_nonblocking(true).expect("the socket option can be set");
     let seen = peer.peek(&mut [0]);
-    peer.set_nonblocking(false).expect("it can be set");
+    peer.set_nonblocking(false).expect("the socket option can be set");
     seen.is_ok_and(|bytes| bytes > 0)
 }
 
 fn answer_empty_query(mut peer: &TcpStream) {
-    peer.write_all(&wire::empty_query_answer()).expect("the program takes it");
+    peer.write_all(&wire::empty_query_answer()).expect("the program accepts the bytes");
 }
 
-/// Reads up to what a file names, and writes it as the files do. Empty queries before requests are answered as db hosts do, and no file
-/// speaks of them.
+/// Reads up to what a file names and returns it in the files' notation. The program sends an empty query
+/// before each further request on a connection, so that leftovers of the answer before cannot pass for the
+/// next one's. It is answered here as a db host answers it; files and snapshots don't contain it.
 fn listen_until(peer: &TcpStream, what: &str) -> String {
     let take = |n: usize| {
         let (mut peer, mut bytes) = (peer, vec![0; n]);
@@ -392,9 +406,12 @@
     match what {
         "end" => {
             let mut rest = Vec::new();
-            // A reset ends it as well as a close.
+            // The connection may end with a reset or with a close.
             let end = (&mut { peer }).read_to_end(&mut rest);
-            assert!(!end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock), "no end comes");
+            assert!(
+                !end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock),
+                "the connection does not end"
+            );
             let key = rest.windows(5).position(|bytes| bytes == b"K\0\0\0\x0c");
             key.into_iter().for_each(|at| rest[at + 9..at + 13].fill(0));
             show("rest", &rest)
@@ -402,21 +419,21 @@
         "head" => {
             let mut head = Vec::new();
             while !head.ends_with(b"\r\n\r\n") {
-                head.extend(take(1).expect("a head"));
+                head.extend(take(1).expect("the head of a request"));
             }
             show("head", &head)
         }
         "startup" => {
             let length = be(&take(4).expect("a startup packet"));
-            show("startup", &take(length - 4).expect("the rest of it")[4..])
+            show("startup", &take(length - 4).expect("the rest of the packet")[4..])
         }
         n if n.parse::<usize>().is_ok() => show("raw", &take(n.parse().expect("a number")).expect("bytes")),
         tag => {
             let mut heard = String::new();
             loop {
                 let head = take(5).expect("a message");
-                let mut body = take(be(&head[1..]) - 4).expect("its body");
-                // The secret of cancel requests is another one each time, here and above.
+                let mut body = take(be(&head[1..]) - 4).expect("the message's body");
+                // The secret key of BackendKeyData is random; it is replaced by zeros here and above.
                 if head[0] == b'K' {
                     body[4..].fill(0);
                 }
@@ -439,9 +456,10 @@
 }
 
 fn play(name: &str, site: Site) {
-    let text = std::fs::read_to_string(folder().join(format!("{name}.txt"))).expect("the file");
+    let text = std::fs::read_to_string(folder().join(format!("{name}.txt"))).expect("the file can be read");
     let mut lines = text.lines().filter(|l| !l.is_empty() && !l.starts_with('#'));
-    let hosts = lines.next().and_then(|l| l.strip_prefix("hosts:")).expect("the db hosts first");
+    let hosts =
+        lines.next().and_then(|l| l.strip_prefix("hosts:")).expect("the first line lists the db hosts");
     let mut lines = lines.peekable();
     let mut limit = |name: &str| {
         let line = lines.next_if(|l| l.starts_with(name));
@@ -464,17 +482,18 @@
     ($($name:ident)* ; shared: $($shared:ident)* ; only_shared: $($only:ident)*) => {
         $(#[test] fn $name() { play(stringify!($name), Site::Keyed); })*
 
-        /// On the second deployment's settings. Left out are those that turn on keys: `unusable`, `own_error`, `probe`, `late_repeat`.
+        /// Plays files with the settings of [`Site::Shared`], except those that depend on keyed writes:
+        /// `unusable`, `own_error`, `probe` and `late_repeat`.
         mod shared {
             use super::*;
             $(#[test] fn $shared() { play(stringify!($shared), Site::Shared); })*
             $(#[test] fn $only() { play(stringify!($only), Site::Shared); })*
         }
 
-        /// Guards against a file that nobody plays.
+        /// Guards against a file that no test plays.
         #[test]
         fn every_file_is_played() {
-            let files = std::fs::read_dir(folder()).expect("the folder").filter_map(|f| f.ok()?.file_name().into_string().ok());
+            let files = std::fs::read_dir(folder()).expect("the folder can be read").filter_map(|f| f.ok()?.file_name().into_string().ok());
             let mut files: Vec<_> = files.filter_map(|f| Some(f.strip_suffix(".txt")?.to_owned())).collect();
             let mut played = vec![$(stringify!($name).to_owned(),)* $(stringify!($only).to_owned()),*];
             (files.sort(), played.sort());
--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -48,9 +48,9 @@
 
 #[test]
 fn window_counts_from_the_first_attempt_that_was_copied() {
-    // Guards against a window that restarts when the first attempt turns out, after the copy was sent, not to have run:
-    // the window of a keyed write still counts from the first attempt, because the copy was sent while that attempt
-    // may have run.
+    // Guards against a window that restarts when the first attempt turns out, after the copy was sent, not to
+    // have run: the window of a keyed write still counts from the first attempt, because the copy was sent
+    // while that attempt may have run.
     for (last, sends) in [(1_900_000, 3), (2_100_000, 2)] {
         let mut s = settings(vec![WRITE]);
         s.classes[0].deadline = 3_000_000;
@@ -69,8 +69,8 @@
 
 #[test]
 fn repeat_counts_from_its_first_try() {
-    // Guards against work for answers that come too late to be worth anything: the client's repeat has to be answered
-    // within the class's target time from its first try.
+    // Guards against work for answers that come too late to be worth anything: the client's repeat has to be
+    // answered within the class's target time from its first try.
     let mut d = Driver::new(settings(vec![ANY]));
     d.request(1, ANY, None);
     d.repeat(2, ANY, 500_000);
@@ -130,8 +130,8 @@
 
 #[test]
 fn write_that_no_member_takes_is_refused_before_half_its_time() {
-    // Guards against holding a request until its deadline for nothing: after an early refusal its client can still
-    // repeat it in time.
+    // Guards against holding a request until its deadline for nothing: after an early refusal its client can
+    // still repeat it in time.
     let mut settings = settings(vec![WRITE]);
     settings.classes[0].late_worth = 0.3;
     let mut d = Driver::new(settings);
@@ -166,8 +166,8 @@
 
 #[test]
 fn lone_suspect_is_tried_again() {
-    // Guards against a group that stays unserved because its only remaining member was suspected once and never tried
-    // again.
+    // Guards against a group that stays unserved because its only remaining member was suspected once and
+    // never tried again.
     let mut d = Driver::new(settings(vec![FRESH]));
     d.members(&[PRIMARY], PRIMARY);
     d.request(1, FRESH, None);
@@ -184,8 +184,8 @@
 
 #[test]
 fn cold_member_gets_its_share_of_what_warm_ones_bear_over_the_whole_fleet() {
-    // Guards against a smallest window per driver that is harmless for one driver and, multiplied by the number of
-    // drivers, overloads a cold member.
+    // Guards against a smallest window per driver that is harmless for one driver and, multiplied by the
+    // number of drivers, overloads a cold member.
     let taken = |seed| {
         let mut s = settings(vec![ANY]);
         s.fleet = 250;
@@ -206,8 +206,9 @@
         (cold, d.sends_to(REPLICA))
     };
     let all: Vec<_> = (0..100).map(taken).collect();
-    // In the cold member's first 1.5 s the 100 drivers together send 1,500 reads, half of them to each of two warm
-    // members. The cold one may get a fifth to a third of such a half, times 2.5, before it is overloaded.
+    // In the cold member's first 1.5 s the 100 drivers together send 1,500 reads, half of them to each of two
+    // warm members. The cold one may get a fifth to a third of such a half, times 2.5, before it is
+    // overloaded.
     let first: usize = all.iter().map(|t| t.0).sum();
     assert!((30..375).contains(&first), "{first}");
     assert!(all.iter().all(|t| t.1 >= 5), "the member warms up and takes its part of the reads");
@@ -215,8 +216,8 @@
 
 #[test]
 fn young_driver_gives_a_cold_member_what_an_old_one_does() {
-    // Guards against load averages that count the time before the driver's own start as idle: after an upgrade cold
-    // members would get next to nothing for many seconds.
+    // Guards against load averages that count the time before the driver's own start as idle: after an
+    // upgrade cold members would get next to nothing for many seconds.
     let taken = |age: u64| {
         let mut d = Driver::new(settings(vec![ANY]));
         d.members(&[PRIMARY, THIRD], PRIMARY);
@@ -242,9 +243,9 @@
 
 #[test]
 fn nearly_warm_member_takes_nearly_what_a_warm_one_does() {
-    // Guards against a limit for cold members that still throttles a member at the end of its warm-up. The capacity of
-    // members is estimated from typical answer times. Here one answer in four takes ten times as long, so members hold a
-    // multiple of the attempts that this estimate expects.
+    // Guards against a limit for cold members that still throttles a member at the end of its warm-up. The
+    // capacity of members is estimated from typical answer times. Here one answer in four takes ten times as
+    // long, so members hold a multiple of the attempts that this estimate expects.
     let mut s = settings(vec![ANY]);
     s.allowed.second_copies = false;
     let mut d = Driver::new(s);
@@ -308,8 +309,8 @@
 
 #[test]
 fn suspicions_in_a_row_do_not_thin_a_member_to_nothing() {
-    // Guards against starving a primary that is merely overloaded: each recovery used to halve its window, without a
-    // lower limit.
+    // Guards against starving a primary that is merely overloaded: each recovery used to halve its window,
+    // without a lower limit.
     let mut s = settings(vec![FRESH]);
     s.fleet = 250;
     let mut d = Driver::new(s);
@@ -333,8 +334,8 @@
 
 #[test]
 fn member_out_of_reach_is_not_taken_for_a_restarted_one() {
-    // Guards against treating members as cold for many seconds after a network partition has ended: they were out of
-    // reach (connects time out), not restarted (connects are refused).
+    // Guards against treating members as cold for many seconds after a network partition has ended: they were
+    // out of reach (connects time out), not restarted (connects are refused).
     for (elapsed, warm) in [(1_000, false), (250_000, true)] {
         let mut d = Driver::new(settings(vec![FRESH]));
         d.members(&[PRIMARY], PRIMARY);
@@ -421,8 +422,8 @@
 
 #[test]
 fn idle_connections_are_closed_where_members_refuse_and_live() {
-    // Guards against db hosts that refuse connections because the idle connections of a large fleet fill their
-    // connection tables.
+    // Guards against db hosts that refuse connections because the idle connections of a large fleet fill
+    // their connection tables.
     let mut d = Driver::new(settings(vec![ANY]));
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     for id in 11..14 {
@@ -464,8 +465,8 @@
 
 #[test]
 fn suspect_is_looked_at_sooner_where_aims_are_short() {
-    // Guards against a fixed delay between probes of a suspected member: writes wait for such a probe, and a delay that
-    // suits classes with a long target time is too long for those with a short one.
+    // Guards against a fixed delay between probes of a suspected member: writes wait for such a probe, and a
+    // delay that suits classes with a long target time is too long for those with a short one.
     let mut s = settings(vec![WRITE]);
     s.classes[0].aim = 50_000;
     let mut d = Driver::new(s);
@@ -499,8 +500,8 @@
 
 #[test]
 fn error_of_an_uncrowded_primary_is_tried_again_beyond_the_budget() {
-    // Guards against writes that fail although the primary, which often answers with errors, has capacity to spare: no
-    // other member can take them.
+    // Guards against writes that fail although the primary, which often answers with errors, has capacity to
+    // spare: no other member can take them.
     let failed = |takes: Micros| {
         let mut d = Driver::new(settings(vec![WRITE]));
         d.members(&[PRIMARY, REPLICA], PRIMARY);
@@ -523,8 +524,8 @@
 
 #[test]
 fn attempts_called_off_at_their_deadline_tell_that_a_member_is_crowded() {
-    // Guards against taking an overloaded member for a fast one: it answers some requests and leaves the others until
-    // their deadline, so its answers alone look fast.
+    // Guards against taking an overloaded member for a fast one: it answers some requests and leaves the
+    // others until their deadline, so its answers alone look fast.
     let sends = |answered: u64| {
         let mut s = settings(vec![ANY]);
         s.fleet = 100;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// Settings of a deployment with keyed writes, with db hosts that refuse a read if their data is too old for it, and
-/// without tenants.
+/// Settings of a deployment with keyed writes, with db hosts that refuse a read if their data is too old for
+/// it, and without tenants.
 pub fn keyed_site() -> Settings {
     let mut s = settings(vec![(ReadLevel::Bounded(200_000), Effect::Safe), SESSION, WRITE]);
     let figures =
@@ -80,8 +80,8 @@
     s
 }
 
-/// Settings of a deployment with writes that must never run twice, with db hosts that answer a read however old their
-/// data is, with a member list that names no primary, and with three tenants.
+/// Settings of a deployment with writes that must never run twice, with db hosts that answer a read however
+/// old their data is, with a member list that names no primary, and with three tenants.
 pub fn shared_site() -> Settings {
     let mut s = settings(vec![(ReadLevel::Bounded(200_000), Effect::Safe), SESSION, UNSAFE]);
     let figures =
@@ -116,7 +116,8 @@
     timers: BTreeMap<Micros, TimerTag>,
     probing: Vec<MemberId>,
     pub log: Vec<(Micros, Action)>,
-    /// Unanswered attempts by request and number: the member they were sent to, and the time at which they time out.
+    /// Unanswered attempts by request and number: the member they were sent to, and the time at which they
+    /// time out.
     out: BTreeMap<(u64, u32), (MemberId, Micros)>,
     over: Vec<u64>,
     /// The tenant that sends the following requests.
@@ -310,7 +311,8 @@
         self.over.pop();
     }
 
-    /// Returns the unanswered attempts, each as request, attempt number and member, with the time at which it was sent.
+    /// Returns the unanswered attempts, each as request, attempt number and member, with the time at which it
+    /// was sent.
     pub fn still_out(&self) -> Vec<((u64, u32, MemberId), Micros)> {
         let sent = |id: u64, n: u32| {
             let sends =
@@ -351,8 +353,8 @@
         }));
     }
 
-    /// Ends an attempt whose connection was closed before an answer came; the next attempt is allowed from `settled_at`
-    /// on.
+    /// Ends an attempt whose connection was closed before an answer came; the next attempt is allowed from
+    /// `settled_at` on.
     pub fn end_closed(&mut self, at: (u64, u32, MemberId), ending: Ending, settled_at: Micros) {
         let (id, attempt, member) = at;
         self.out.remove(&(id, attempt));
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -11,15 +11,16 @@
 const TAKES: Micros = 40_000;
 const AT_ONCE: usize = 4;
 
-/// Plays ten seconds with a primary and two replicas that can serve 300 requests a second. Each tenant sends bounded
-/// reads at the given multiple of its rate; clients repeat a refused request once. Returns the share of each tenant's
-/// requests that was answered within the class's target time.
+/// Plays ten seconds with a primary and two replicas that can serve 300 requests a second. Each tenant sends
+/// bounded reads at the given multiple of its rate; clients repeat a refused request once. Returns the share
+/// of each tenant's requests that was answered within the class's target time.
 fn served(settings: Settings, times: [f64; 3]) -> [f64; 3] {
     let (aim, rates) = (settings.classes[0].aim, [100.0, 60.0, 40.0]);
     let mut d = Driver::new(settings);
     d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
     d.report(PRIMARY, 0, true);
-    // When each of a db host's parallel workers is free again, and when each unanswered attempt will be answered.
+    // When each of a db host's parallel workers is free again, and when each unanswered attempt will be
+    // answered.
     let mut free = BTreeMap::from([PRIMARY, REPLICA, THIRD].map(|m| (m, vec![0; AT_ONCE])));
     let mut ends: BTreeMap<(u64, u32), Micros> = BTreeMap::new();
     let mut next = [0.0; 3];
@@ -70,8 +71,8 @@
 
 #[test]
 fn tenant_at_five_times_its_rate_costs_others_little() {
-    // Guards against one tenant that takes the capacity of the others: without shares all requests wait in one queue,
-    // and whoever sends most is served most.
+    // Guards against one tenant that takes the capacity of the others: without shares all requests wait in
+    // one queue, and whoever sends most is served most.
     let usual = served(shared_site(), [1.0; 3]);
     let crowded = served(shared_site(), [5.0, 1.0, 1.0]);
     assert!(usual.iter().all(|s| *s > 0.98), "{usual:?}");
@@ -149,8 +150,8 @@
 
 #[test]
 fn write_that_must_not_run_twice_has_no_copy_whatever_its_db_host_does() {
-    // Guards against second copies of a write whose db host falls silent, is suspected because of other attempts, or is
-    // no longer the primary.
+    // Guards against second copies of a write whose db host falls silent, is suspected because of other
+    // attempts, or is no longer the primary.
     let mut d = Driver::new(shared_site());
     d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
     d.report(PRIMARY, 1_000, true);
@@ -168,8 +169,8 @@
 
 #[test]
 fn write_on_a_silent_connection_keeps_its_db_host_from_nobody_else() {
-    // Guards against avoiding a primary because of one write that waits on a dead connection until its deadline (such
-    // writes are never repeated), while the primary answers all others.
+    // Guards against avoiding a primary because of one write that waits on a dead connection until its
+    // deadline (such writes are never repeated), while the primary answers all others.
     let mut d = Driver::new(shared_site());
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.report(PRIMARY, 0, true);
@@ -208,7 +209,8 @@
 
 #[test]
 fn roaming_session_sees_its_write_by_what_its_client_carries() {
-    // Guards against stale session reads after a write that went through another proxy, which this one knows nothing of.
+    // Guards against stale session reads after a write that went through another proxy, which this one knows
+    // nothing of.
     for site in [keyed_site(), shared_site()] {
         let checked = site.behind != Behind::Silent;
         let mut d = Driver::new(site);
@@ -238,7 +240,8 @@
 
 #[test]
 fn primary_is_found_where_the_list_tells_no_roles() {
-    // Guards the first write after a proxy's start: no member is listed as primary, and none has been asked yet.
+    // Guards the first write after a proxy's start: no member is listed as primary, and none has been asked
+    // yet.
     let mut d = Driver::new(shared_site());
     let members = [PRIMARY, REPLICA, THIRD];
     d.list(ListKind::Saved, members.iter().map(|m| entry(*m, false)).collect());
@@ -264,9 +267,7 @@
         (0..3).for_each(|class| d.request_in(class as u64, class, GROUP));
         d.run_to(6_000_000);
         let advice = d.log.iter().filter_map(|(_, a)| match a {
-            Action::Refuse { retry_after, .. } => {
-                Some(retry_after.expect("each refusal carries a retry time"))
-            }
+            Action::Refuse { retry_after, .. } => Some(retry_after.expect("a retry time")),
             _ => None,
         });
         let advice: Vec<_> = advice.collect();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,14 +1,14 @@
-//! Tests of the combined load that many drivers put on shared members: each runs one driver per proxy on a simulated
-//! clock and adds up what they send.
+//! Tests of the combined load that many drivers put on shared members: each runs one driver per proxy on a
+//! simulated clock and adds up what they send.
 
 mod common;
 
 use common::*;
 use leadmast::*;
 
-/// Runs one driver of a fleet of a hundred for twenty seconds with two writes a second. The primary answers a write
-/// after `takes(now)`. Returns the arrival times of the writes that were never sent, and the number of unanswered
-/// attempts every 10 ms.
+/// Runs one driver of a fleet of a hundred for twenty seconds with two writes a second. The primary answers a
+/// write after `takes(now)`. Returns the arrival times of the writes that were never sent, and the number of
+/// unanswered attempts every 10 ms.
 fn writes_of_one_in_a_fleet(seed: u64, takes: impl Fn(Micros) -> Micros) -> (Vec<Micros>, Vec<usize>) {
     let mut s = settings(vec![WRITE]);
     s.fleet = 100;
@@ -35,8 +35,9 @@
 
 #[test]
 fn crowded_primary_holds_few_attempts_of_a_large_fleet() {
-    // Guards against pacing attempts by a class's usual answer time: a member that takes forty times as long would hold
-    // forty times the attempts that all drivers together mean to give it, and answer none of them in time.
+    // Guards against pacing attempts by a class's usual answer time: a member that takes forty times as long
+    // would hold forty times the attempts that all drivers together mean to give it, and answer none of them
+    // in time.
     let held = |seed| {
         let takes = |now| if now < 10_000_000 { 10_000 } else { 400_000 };
         writes_of_one_in_a_fleet(seed, takes).1[1_500..].iter().sum::<usize>() as f64 / 500.0
@@ -48,8 +49,8 @@
 
 #[test]
 fn recovered_primary_is_used_again_though_its_last_answers_were_slow() {
-    // Guards against pacing by a load estimate that does not decay: a driver of a large fleet gets an answer only every
-    // few seconds, and would avoid the primary for ten seconds after a slow one.
+    // Guards against pacing by a load estimate that does not decay: a driver of a large fleet gets an answer
+    // only every few seconds, and would avoid the primary for ten seconds after a slow one.
     let unsent = |seed| {
         let takes = |now| if (5_000_000..10_000_000).contains(&now) { 400_000 } else { 10_000 };
         let unsent = writes_of_one_in_a_fleet(seed, takes).0;
@@ -63,9 +64,9 @@
 
 #[test]
 fn cold_primary_that_answers_uncrowded_gets_what_its_rule_allows_and_no_more() {
-    // Guards both sides of the cold-member rule (`Rules::cold_share`, `fall_multiple`). With half of the allowance, the
-    // primary is idle while writes wait, because it has more than the mean member's load. With more than the allowance,
-    // the sum over all drivers may overload it.
+    // Guards both sides of the cold-member rule (`Rules::cold_share`, `fall_multiple`). With half of the
+    // allowance, the primary is idle while writes wait, because it has more than the mean member's load. With
+    // more than the allowance, the sum over all drivers may overload it.
     const COLD: MemberId = MemberId(3);
     let taken = |seed: u64| {
         let mut s = settings(vec![WRITE]);
@@ -93,14 +94,14 @@
         }
         d.sends_to(COLD)
     };
-    // Of the 3,000 writes of the new primary's first three seconds. The mean warm member has 333 a second; a third of
-    // that on average, times 2.5, is 830 in three seconds.
+    // Of the 3,000 writes of the new primary's first three seconds. The mean warm member has 333 a second; a
+    // third of that on average, times 2.5, is 830 in three seconds.
     let all: usize = (0..100).map(taken).sum();
     assert!((650..830).contains(&all), "{all}");
 }
 
-/// Whether one driver of a fleet of `fleet` sends a read to its group's primary when no replica is known to be recent
-/// enough, after another group's primary has answered writes late.
+/// Whether one driver of a fleet of `fleet` sends a read to its group's primary when no replica is known to
+/// be recent enough, after another group's primary has answered writes late.
 fn read_reaches_the_primary_after_late_answers_elsewhere(fleet: u32, seed: u64) -> bool {
     let mut s = settings(vec![WRITE, BOUNDED]);
     s.fleet = fleet;
@@ -123,8 +124,9 @@
 
 #[test]
 fn reads_of_a_large_fleet_keep_off_primaries_that_are_crowded_at_large() {
-    // Guards against reads that overload all primaries at once: one proxy of 300 sends a primary a request only every few
-    // seconds, so it notices the overload too late, while all proxies together send more than the primary can serve.
+    // Guards against reads that overload all primaries at once: one proxy of 300 sends a primary a request
+    // only every few seconds, so it notices the overload too late, while all proxies together send more than
+    // the primary can serve.
     let reads = |fleet| {
         (0..300).filter(|seed| read_reaches_the_primary_after_late_answers_elsewhere(fleet, *seed)).count()
     };
@@ -134,8 +136,8 @@
 
 #[test]
 fn replica_that_was_behind_is_tried_again_after_a_while() {
-    // Guards against sending reads to the primary forever once its replicas were seen to lag: without probes only a read
-    // can show that they have caught up.
+    // Guards against sending reads to the primary forever once its replicas were seen to lag: without probes
+    // only a read can show that they have caught up.
     let tried = |after: Micros| {
         let one = |seed: &u64| {
             let mut s = settings(vec![BOUNDED]);
@@ -196,8 +198,8 @@
         Served { capacity, free: 0, arrived: Vec::new() }
     }
 
-    /// Adds a request that arrives now and returns when it will be answered; `share` is the share of its warm capacity
-    /// at which the member works.
+    /// Adds a request that arrives now and returns when it will be answered; `share` is the share of its warm
+    /// capacity at which the member works.
     fn take(&mut self, now: Micros, work: f64, share: f64) -> Micros {
         self.arrived.push((now, work));
         self.free = self.free.max(now) + (work / (self.capacity * share) * 1e6) as Micros;
@@ -212,7 +214,8 @@
         (self.share + (1.0 - self.share) * warm.max(0.0)).min(1.0)
     }
 
-    /// The most work that the member was sent within any `fall` of its warm-up, as a share of the work that overloads it.
+    /// The most work that the member was sent within any `fall` of its warm-up, as a share of the work that
+    /// overloads it.
     fn worst(&self, member: &Served) -> f64 {
         let of = &member.arrived;
         let within = |from: Micros| of.iter().filter(move |(at, _)| (from..from + self.fall).contains(at));
@@ -281,9 +284,9 @@
     }
 }
 
-/// Plays a burst that exceeds the capacity of the warm members while a cold one starts. Returns the most work that the
-/// drivers sent the cold member, as a share of the work that overloads it, and the member's share of all work once it is
-/// warm.
+/// Plays a burst that exceeds the capacity of the warm members while a cold one starts. Returns the most work
+/// that the drivers sent the cold member, as a share of the work that overloads it, and the member's share of
+/// all work once it is warm.
 fn sent_to_a_cold_member(rule: ColdRule, capacity: f64, seed: u64) -> (f64, f64) {
     let mut s = settings(vec![ANY, ANY]);
     s.fleet = CROWD as u32;
@@ -320,9 +323,10 @@
 
 #[test]
 fn cold_member_is_not_pushed_over_by_the_sum_of_a_crowd_under_a_burst() {
-    // Guards the cold-member rule for the sum over 24 drivers, each of which sees a twenty-fourth of the traffic. With N
-    // as the allowed number of requests within `fall`, more than N + 2 * sqrt(N) + 2 requests of mean work overload a
-    // cold member. Members of small capacity are included because random variation is largest there.
+    // Guards the cold-member rule for the sum over 24 drivers, each of which sees a twenty-fourth of the
+    // traffic. With N as the allowed number of requests within `fall`, more than N + 2 * sqrt(N) + 2 requests
+    // of mean work overload a cold member. Members of small capacity are included because random variation is
+    // largest there.
     let rules = [(0.17, 18, 4.0, 3_000_000), (0.2, 10, 2.5, 1_500_000), (0.1, 12, 2.0, 1_000_000)];
     let mut highest = 0.0_f64;
     for (share, seconds, multiple, fall) in rules {
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,5 +1,5 @@
-//! Tests of `.ci/known-red`, which reads KNOWN-RED.txt for CI: exactly the tests that are listed there are skipped, and
-//! a malformed file fails the run instead of hiding tests.
+//! Tests of `.ci/known-red`, which reads KNOWN-RED.txt for CI: exactly the tests that are listed there are
+//! skipped, and a malformed file fails the run instead of hiding tests.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -40,7 +40,8 @@
     }
 }
 
-/// A known fault that no test of the suite shows is listed with `-` for its test: it is printed, and no test is skipped.
+/// A known fault that no test of the suite shows is listed with `-` for its test: it is printed, and no test
+/// is skipped.
 #[test]
 fn line_without_a_test_passes_over_none() {
     let line = "- | soak --seed 3 | one write ran twice | issue 32";
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -11,8 +11,8 @@
     Entry { member, common: member.0.into(), group, weight: 1.0, leader, ..Entry::default() }
 }
 
-/// Guards against reads at a member that was rebuilt under its old address for another group: it no longer has its former
-/// group's data.
+/// Guards against reads at a member that was rebuilt under its old address for another group: it no longer
+/// has its former group's data.
 #[test]
 fn member_that_is_listed_in_another_group_serves_its_former_one_no_more() {
     let mut balancer = Balancer::new(settings(vec![ANY]), 7, 0);
@@ -62,8 +62,8 @@
     driver.log.iter().rfind(|(_, action)| *action == Action::Watch).map(|(at, _)| *at)
 }
 
-/// Guards against missing a drain when the watch breaks as the drain is announced: discovery counts the drain as delivered
-/// once it has written it to the watch, so the driver has to ask again quickly.
+/// Guards against missing a drain when the watch breaks as the drain is announced: discovery counts the drain
+/// as delivered once it has written it to the watch, so the driver has to ask again quickly.
 #[test]
 fn watch_that_breaks_after_it_stood_is_opened_anew_within_50_ms() {
     const BROKEN_AT: Micros = 10_000_000;
@@ -93,8 +93,8 @@
     }
 }
 
-/// Guards against missing a drain when several calls break one after the other: discovery may have written the drain to any
-/// of them.
+/// Guards against missing a drain when several calls break one after the other: discovery may have written
+/// the drain to any of them.
 #[test]
 fn calls_whose_connections_break_are_made_again_at_once_four_times() {
     let mut driver = driver_with_watch(1_000);
@@ -111,8 +111,8 @@
     assert_eq!(driver.watches(), 5, "the fifth call backs off");
 }
 
-/// Guards the discovery service against many processes that start at the same time, and drivers against calls that never
-/// deliver a list.
+/// Guards the discovery service against many processes that start at the same time, and drivers against calls
+/// that never deliver a list.
 #[test]
 fn first_call_for_the_list_that_fails_is_made_again_after_a_second_or_two() {
     let mut settings = settings(vec![ANY]);
@@ -126,8 +126,8 @@
     assert_eq!(driver.watches(), 2);
 }
 
-/// Guards the discovery service against a busy loop of calls if it ends each call right after its list, as a long poll
-/// without anything to wait for does: such a call counts as a failure.
+/// Guards the discovery service against a busy loop of calls if it ends each call right after its list, as a
+/// long poll without anything to wait for does: such a call counts as a failure.
 #[test]
 fn calls_that_end_right_behind_their_list_back_off_like_failures() {
     let mut driver = driver_with_watch(1_000);
@@ -159,8 +159,8 @@
 
 #[test]
 fn members_that_are_gone_are_forgotten_and_may_return() {
-    // Guards against memory and selection time that grow in a long-running process as members are replaced again and
-    // again.
+    // Guards against memory and selection time that grow in a long-running process as members are replaced
+    // again and again.
     let mut d = Driver::new(settings(vec![ANY]));
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.request(1, ANY, None);
@@ -184,7 +184,8 @@
 
 #[test]
 fn member_held_out_gets_nothing_until_the_call_back_whatever_the_list_says() {
-    // Guards maintenance by operators: it holds whatever the member list says, and the member is cold when it ends.
+    // Guards maintenance by operators: it holds whatever the member list says, and the member is cold when it
+    // ends.
     let mut d = Driver::new(settings(vec![ANY]));
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     let maintain = |d: &mut Driver, out| d.handle(Event::Maintenance { member: REPLICA, out });
--- a/tests/permission.rs
+++ b/tests/permission.rs
@@ -1,4 +1,5 @@
-//! Tests of the `permission` module: each check with the facts that decide it, at the exact limits of its times.
+//! Tests of the `permission` module: each check with the facts that decide it, at the exact limits of its
+//! times.
 
 use leadmast::invariant::{violates_answer_time, violates_drain, Rule, Violations, Written};
 use leadmast::permission::*;
@@ -93,8 +94,8 @@
     }
 }
 
-/// Guards the remaining time that is sent with a statement: it never exceeds the time that is left, and it is shorter for
-/// a statement that takes long to write.
+/// Guards the remaining time that is sent with a statement: it never exceeds the time that is left, and it is
+/// shorter for a statement that takes long to write.
 #[test]
 fn time_told_is_true_until_the_last_byte() {
     for left in [1, 1_000, 400_000, 30_000_000] {
@@ -164,7 +165,8 @@
     assert_eq!(list(3, 5, 2), Ok(()), "discovery has restarted its version numbers");
 }
 
-/// Guards the rule checker itself: it reports each broken rule, and nothing for an attempt that keeps them all.
+/// Guards the rule checker itself: it reports each broken rule, and nothing for an attempt that keeps them
+/// all.
 #[test]
 fn violations_are_found_and_counted_by_rule() {
     let sound = Written {
--- a/tests/reads.rs
+++ b/tests/reads.rs
@@ -121,8 +121,8 @@
 
 #[test]
 fn reads_take_a_primary_with_room_where_the_replicas_have_none() {
-    // Guards against overloading the few replicas that keep up while others lag: they got all reads although the primary
-    // was idle.
+    // Guards against overloading the few replicas that keep up while others lag: they got all reads although
+    // the primary was idle.
     let mut d = Driver::new(settings(vec![BOUNDED]));
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.position(REPLICA, 0);
@@ -137,8 +137,8 @@
 
 #[test]
 fn read_that_finds_no_member_holds_up_none_that_needs_less() {
-    // Guards the scan of waiting requests: if one write or bounded read finds no member, its likes need not be tried, but
-    // session reads differ in the position that they need.
+    // Guards the scan of waiting requests: if one write or bounded read finds no member, its likes need not
+    // be tried, but session reads differ in the position that they need.
     let mut s = settings(vec![SESSION]);
     s.tokens = Tokens::Carried;
     let mut d = Driver::new(s);
@@ -165,8 +165,8 @@
     assert_eq!(d.sent(1), vec![REPLICA]);
 }
 
-/// Guards against refusing a read because of a slow probe: once the wait for the probe is over, the read must not wait for
-/// the next round, which may refuse it.
+/// Guards against refusing a read because of a slow probe: once the wait for the probe is over, the read must
+/// not wait for the next round, which may refuse it.
 #[test]
 fn read_that_has_waited_for_a_probe_in_vain_goes_to_the_primary_at_once() {
     const ASKED_AT: Micros = 5_000_000;
--- a/tests/settling.rs
+++ b/tests/settling.rs
@@ -1,5 +1,5 @@
-//! Tests of the delay between an attempt whose connection was closed and the next attempt of its request: the next one is
-//! sent only once the close counts as handled by the db host.
+//! Tests of the delay between an attempt whose connection was closed and the next attempt of its request: the
+//! next one is sent only once the close counts as handled by the db host.
 
 mod common;
 
@@ -19,8 +19,8 @@
     (driver, (1, 0, PRIMARY))
 }
 
-/// Guards against a write that runs twice: the db host may handle a repeat that follows a close at once before it handles
-/// the close.
+/// Guards against a write that runs twice: the db host may handle a repeat that follows a close at once
+/// before it handles the close.
 #[test]
 fn repeat_waits_until_the_close_of_the_earlier_attempt_has_settled() {
     for ending in [Ending::Timeout, Ending::Reset, Ending::Error] {
@@ -33,7 +33,8 @@
     }
 }
 
-/// Guards the latency of repeats: after an attempt that its db host has answered there is no close to wait for.
+/// Guards the latency of repeats: after an attempt that its db host has answered there is no close to wait
+/// for.
 #[test]
 fn repeat_follows_an_answered_attempt_at_once() {
     let (mut driver, attempt) = driver_with_write_out(WRITE);
@@ -41,8 +42,8 @@
     assert_eq!(driver.sent(1).len(), 2);
 }
 
-/// Guards against repeats after the window of a keyed write, and against holding a request whose window will have passed
-/// once the close has settled.
+/// Guards against repeats after the window of a keyed write, and against holding a request whose window will
+/// have passed once the close has settled.
 #[test]
 fn request_whose_window_ends_before_the_close_has_settled_is_given_up_at_once() {
     let (mut driver, attempt) = driver_with_write_out(WRITE);
--- a/tests/wirehost.rs
+++ b/tests/wirehost.rs
@@ -1,4 +1,5 @@
-//! Tests of the simulator's adapter `leadmast-wirehost`: its answers to batches of events, and its error messages.
+//! Tests of the simulator's adapter `leadmast-wirehost`: its answers to batches of events, and its error
+//! messages.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
