--- a/crates/gradeshunt/tests/cli.rs
+++ b/crates/gradeshunt/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Tests of the command line: `classify`, `check` and `plan`.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -11,23 +11,27 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
-    child.stdin.take().expect("a pipe").write_all(input).expect("it reads");
-    child.wait_with_output().expect("it ends")
+        .expect("the program can be started");
+    child.stdin.take().expect("stdin is piped").write_all(input).expect("the program reads its input");
+    child.wait_with_output().expect("the program ends")
 }
 
 fn accesses(output: &Output) -> Vec<(String, String)> {
     let text = String::from_utf8_lossy(&output.stdout);
     let line = |l: &str| {
-        let told: serde_json::Value = serde_json::from_str(l).expect("an object a line");
+        let told: serde_json::Value = serde_json::from_str(l).expect("each line is a JSON object");
         let fields = ["class", "shape", "cost", "why"];
         assert!(fields.iter().all(|f| told.get(*f).is_some()), "{l}");
-        (told["access"].as_str().expect("text").to_owned(), told["target"].as_str().expect("text").to_owned())
+        (
+            told["access"].as_str().expect("a string").to_owned(),
+            told["target"].as_str().expect("a string").to_owned(),
+        )
     };
     text.lines().map(line).collect()
 }
 
-/// Guards scripts that read what comes: an object for each statement, in order, whatever the statement is.
+/// Guards scripts that parse the output: each statement gets one JSON object, in order, whatever the
+/// statement is.
 #[test]
 fn classify_answers_each_statement_in_order() {
     let pair = |a: &str, t: &str| (a.to_owned(), t.to_owned());
@@ -76,7 +80,8 @@
     assert_eq!(run(&["frob"], b"").status.code(), Some(2));
 }
 
-/// Guards `gradeshunt plan`: its status tells scripts whether a loss is borne, and the example is one of each kind.
+/// Guards the exit status of `gradeshunt plan`, by which scripts see whether the other sites can take over
+/// when sites are lost; the example has losses of both kinds.
 #[test]
 fn plan_tells_by_its_status_what_is_borne() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/sites.textproto");
@@ -91,7 +96,11 @@
     assert_eq!((status, text.lines().next()), (Some(3), Some("loss of north and south: not borne")));
     let (status, text, _) = plan(&["--format", "json"]);
     let plans: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    assert_eq!((status, plans.as_array().map(Vec::len)), (Some(3), Some(6)), "each site and each two");
+    assert_eq!(
+        (status, plans.as_array().map(Vec::len)),
+        (Some(3), Some(6)),
+        "one plan for each site and each pair of sites"
+    );
     assert_eq!(plans[0]["verdict"], "borne with refusals");
     let (status, _, why) = plan(&["--lose", "west"]);
     assert!(
@@ -100,7 +109,7 @@
     );
 }
 
-/// Guards operators' slips: a file on sites that does not fit the settings is told of before anything is served.
+/// Guards against operators' mistakes: `check` reports a sites file that does not fit the settings.
 #[test]
 fn check_tells_of_a_file_on_sites_that_does_not_fit() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
@@ -109,7 +118,7 @@
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
     let (file, sites) = (folder.join("sites-config.json"), folder.join("sites-check.textproto"));
     config["sites"] = serde_json::json!(sites);
-    std::fs::write(&file, config.to_string()).expect("a file");
+    std::fs::write(&file, config.to_string()).expect("the file can be written");
     let good = "site { name: \"toy\" proxies: 1 }
         set { cluster: 1 members { site: \"toy\" hosts: 2 capacity: 2 } primary: \"toy\" }
         class { name: \"page-read\" access: READ work_ms: 5 worth: 2 }
@@ -123,13 +132,13 @@
         (good.replace("capacity: 2", "capacity: -1"), "2: set[0].members[0].capacity: is -1"),
     ];
     for (text, why) in cases {
-        std::fs::write(&sites, &text).expect("a file");
+        std::fs::write(&sites, &text).expect("the file can be written");
         let output = run(&["check", &file.to_string_lossy()], b"");
         let told = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.success(), why.is_empty(), "{text}: {told}");
         assert!(told.contains(why), "{why}: {told}");
     }
-    std::fs::remove_file(&sites).expect("it is there");
+    std::fs::remove_file(&sites).expect("the sites file can be removed");
     let output = run(&["check", &file.to_string_lossy()], b"");
     assert!(String::from_utf8_lossy(&output.stderr).contains("cannot read"));
 }
--- a/crates/gradeshunt/tests/config.rs
+++ b/crates/gradeshunt/tests/config.rs
@@ -1,4 +1,4 @@
-//! A configuration that cannot be used ends the program at once, with one plain line.
+//! Tests that an unusable configuration ends the program at once with a one-line error.
 
 use std::path::Path;
 use std::process::Command;
@@ -74,13 +74,13 @@
     ];
     for (name, text, complaint) in cases {
         let file = dir.join(format!("{name}.json"));
-        std::fs::write(&file, text).expect("a file");
+        std::fs::write(&file, text).expect("the file can be written");
         let run = Command::new(env!("CARGO_BIN_EXE_gradeshunt"))
             .env("ROUTER_CONFIG", &file)
             .env_remove("ROUTER_CONTROL")
             .env_remove("ROUTER_LISTEN_FD")
             .output()
-            .expect("it runs");
+            .expect("the program can be started");
         let said = String::from_utf8_lossy(&run.stderr);
         assert_eq!(run.status.code(), Some(1), "{name}: {said}");
         let line = said.strip_suffix('\n').unwrap_or_default();
@@ -90,7 +90,7 @@
         );
     }
     let file = dir.join("good.json");
-    std::fs::write(&file, good).expect("a file");
+    std::fs::write(&file, good).expect("the file can be written");
     let odd = [
         ("ROUTER_CONTROL", "localhost", "ROUTER_CONTROL is not an address"),
         ("ROUTER_LISTEN_FD", "seven", "ROUTER_LISTEN_FD is no descriptor"),
@@ -99,12 +99,14 @@
     for (name, value, complaint) in odd {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gradeshunt"));
         command.env("ROUTER_CONFIG", &file).env_remove("ROUTER_CONTROL").env_remove("ROUTER_LISTEN_FD");
-        let run = command.env(name, value).output().expect("it runs");
+        let run = command.env(name, value).output().expect("the program can be started");
         let said = String::from_utf8_lossy(&run.stderr);
         assert!(run.status.code() == Some(1) && said.contains(complaint), "{name}: {said}");
     }
-    let run =
-        Command::new(env!("CARGO_BIN_EXE_gradeshunt")).env_remove("ROUTER_CONFIG").output().expect("it runs");
+    let run = Command::new(env!("CARGO_BIN_EXE_gradeshunt"))
+        .env_remove("ROUTER_CONFIG")
+        .output()
+        .expect("the program can be started");
     assert_eq!(
         (run.status.code(), run.stderr.as_slice()),
         (Some(1), &b"gradeshunt: ROUTER_CONFIG is not set\n"[..])
--- a/crates/gradeshunt/tests/exchanges.rs
+++ b/crates/gradeshunt/tests/exchanges.rs
@@ -2,16 +2,16 @@
 //! it sends is compared with the snapshots. Every step waits for bytes, not for a time.
 //!
 //! A file begins with the db hosts (`hosts: 1=primary 2=standby`, or none). Optional lines follow: limits
-//! (`memory_mb: 0`, `sockets: 64`), `held: 1` if the platform holds the clients' listening socket, and `set:
-//! /settings/tick 5` for each changed value of the configuration. Then each line is a step:
+//! (`memory_mb: 0`, `sockets: 64`), `held: 1` if the platform holds the clients' listening socket, and
+//! `set: /settings/tick 5` for each changed value of the configuration. Then each line is a step:
 //!
 //! - `a connects`: a client connects (`a connects 40`: 40 clients `a0` to `a39`); `o calls`: an operator does
 //!   (`o calls 40`); `1 accepts x`, `discovery accepts w`: db host 1 or discovery accepts a connection that
 //!   the program opens;
-//! - `a> Q|text`: sends a message whose length is filled in; `a> startup|text`, `a> raw|bytes`, `a>
-//!   chunk|text` and `a> row|value` send other data; `Q 1000|text` puts 1,000 spaces before the text; `a+
-//!   ...` holds the data back and sends it in one piece with the next; `{1}` stands for the address of db
-//!   host 1;
+//! - `a> Q|text`: sends a message whose length is filled in; `a> startup|text`, `a> raw|bytes`,
+//!   `a> chunk|text` and `a> row|value` send other data; `Q 1000|text` puts 1,000 spaces before the text;
+//!   `a+ ...` holds the data back and sends it in one piece with the next; `{1}` stands for the address of
+//!   db host 1;
 //! - `a< Z`: reads whole messages up to one of this type; `a< startup`, `a< head`, `a< 1` (a number of bytes)
 //!   and `a< end` read other data;
 //! - `a closes`, `a resets`, `SIGTERM`, `exits`;
--- a/crates/gradeshunt/tests/placement.rs
+++ b/crates/gradeshunt/tests/placement.rs
@@ -1,5 +1,5 @@
-//! Requests that are sent on to a home proxy, on real connections to a real process. The test plays the other proxies and the
-//! only db host, so that every order of events is forced by bytes awaited.
+//! Tests of requests that are forwarded to a home proxy, on real connections to a real process. The test
+//! plays the other proxies and the only db host, and forces each order of events by waiting for bytes.
 
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -16,25 +16,27 @@
 use gradeshunt_stand_ins::standalone::own_address;
 use serde_json::json;
 
-/// A wait that ends a test which fails, and bounds none that passes.
+/// Time limit of each wait; only a failing test reaches it.
 const PATIENCE: Duration = Duration::from_secs(40);
-/// The proxy under test, as the stand-in site names it.
+/// The name of the proxy under test in the stand-in site.
 const OWN: &str = "n0";
 
-/// A socket that listens, and its address. Once it is dropped nobody else listens there.
+/// A listening socket and its address. No other process listens at the address, also after the socket is
+/// dropped.
 fn listener() -> (TcpListener, SocketAddr) {
     let address = own_address();
-    (TcpListener::bind(address).expect("it is free"), address)
+    (TcpListener::bind(address).expect("the address is free"), address)
 }
 
-/// A fleet of one group: the proxy under test, and two others that the test plays.
+/// A fleet of one proxy group: the proxy under test and two others, which are played by the test.
 struct Group {
-    /// The address for proxies of the one under test.
+    /// The address at which the proxy under test accepts other proxies.
     own: SocketAddr,
-    /// The two others' sockets, in the order in which they are homes of [`Group::set`].
+    /// The sockets of the two other proxies, in the order in which they are homes of [`Group::set`].
     homes: Vec<TcpListener>,
     /// A set of which the proxy under test is no home.
     set: u64,
+    /// The placement file.
     text: String,
 }
 
@@ -48,13 +50,15 @@
             text += &format!("proxy {{ name: {name:?} zone: \"here\" address: \"{address}\" }}\n");
         }
         text += "}\n";
-        let fleet = Fleet::parse("test", &text).expect("a placement");
+        let fleet = Fleet::parse("test", &text).expect("the placement file is valid");
         let group = &fleet.groups()[0];
         let name = |member: &Member| group.proxies[member.0 as usize].name.clone();
         let homes = |set: u64| -> Vec<String> {
             fleet.homes(group).of(set, Bucket::new(0)).iter().map(name).collect()
         };
-        let set = (1..).find(|set| !homes(*set).contains(&OWN.to_owned())).expect("one of a third of all");
+        let set = (1..)
+            .find(|set| !homes(*set).contains(&OWN.to_owned()))
+            .expect("a third of all sets have other homes");
         let place = |name: &str| homes(set).iter().position(|home| home == name);
         others.sort_by_key(|(name, _)| place(name));
         let homes = others.into_iter().map(|(_, (listener, _))| listener).collect();
@@ -62,7 +66,7 @@
     }
 }
 
-/// A process of the program, with all that it meets.
+/// A process of the program with its db host and its discovery service.
 struct Program {
     child: RefCell<Child>,
     addr: SocketAddr,
@@ -87,29 +91,29 @@
         let (host, host_address) = listener();
         let (discovery, discovery_address) = listener();
         let (addr, control) = (own_address(), own_address());
-        let site = Site::open(Plan { sets: vec![1], ..Plan::default() }).expect("a site");
+        let site = Site::open(Plan { sets: vec![1], ..Plan::default() }).expect("the stand-in site starts");
         let mut config = site.config();
         config["listen"] = json!(addr.to_string());
         config["control"] = json!(control.to_string());
         config["known"]["instances"][0]["hostPort"] = json!(host_address.to_string());
         config["known"]["instances"][0]["cell"] = json!(group.set);
         config["settings"]["allowed"]["connectTimeout"] = json!(600_000.0);
-        // It takes calls and says nothing.
+        // Discovery accepts calls and sends nothing.
         config["discovery"] = json!(discovery_address.to_string());
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(folder.join("tmp")).expect("a folder");
-        std::fs::write(folder.join("placement.textproto"), &group.text).expect("a file");
+        std::fs::create_dir_all(folder.join("tmp")).expect("the folder can be made");
+        std::fs::write(folder.join("placement.textproto"), &group.text).expect("the file can be written");
         config["placement"] = json!(folder.join("placement.textproto"));
-        std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
+        std::fs::write(folder.join("config.json"), config.to_string()).expect("the file can be written");
         let child = Command::new(env!("CARGO_BIN_EXE_gradeshunt"))
             .env("ROUTER_CONFIG", folder.join("config.json"))
             .env("TMPDIR", folder.join("tmp"))
             .env_remove("ROUTER_CONTROL")
             .env_remove("ROUTER_LISTEN_FD")
-            .stderr(std::fs::File::create(folder.join("log")).expect("a file"))
+            .stderr(std::fs::File::create(folder.join("log")).expect("the file can be written"))
             .spawn()
-            .expect("it starts");
+            .expect("the program can be started");
         Program { child: RefCell::new(child), addr, folder, control, host, _discovery: discovery }
     }
 
@@ -118,44 +122,45 @@
             if let Ok(client) = Client::connect(self.addr, &[("user", "portal")], PATIENCE) {
                 return client;
             }
-            let ended = self.child.borrow_mut().try_wait().expect("it can be asked");
-            assert!(ended.is_none(), "it ended at its start: {ended:?}");
+            let ended = self.child.borrow_mut().try_wait().expect("the process can be polled");
+            assert!(ended.is_none(), "the process ended while starting: {ended:?}");
             std::thread::yield_now();
         }
     }
 
-    /// The operators' file is replaced, and read anew.
+    /// Replaces the placement file and makes the process reload it.
     fn reread(&self, text: &str) {
-        std::fs::write(self.folder.join("placement.textproto"), text).expect("a file");
+        std::fs::write(self.folder.join("placement.textproto"), text).expect("the file can be written");
         let kill = Command::new("kill").arg("-HUP").arg(self.child.borrow().id().to_string()).status();
         assert!(kill.is_ok_and(|status| status.success()));
     }
 
-    /// Waits for a line of its log.
+    /// Waits for a log line that contains `what`.
     fn until_logged(&self, what: &str) {
-        while !std::fs::read_to_string(self.folder.join("log")).expect("its log").contains(what) {
-            let ended = self.child.borrow_mut().try_wait().expect("it can be asked");
-            assert!(ended.is_none(), "it ended: {ended:?}");
+        while !std::fs::read_to_string(self.folder.join("log")).expect("the log can be read").contains(what) {
+            let ended = self.child.borrow_mut().try_wait().expect("the process can be polled");
+            assert!(ended.is_none(), "the process ended: {ended:?}");
             std::thread::yield_now();
         }
     }
 
     fn call(&self, path: &str) -> String {
-        let mut stream = TcpStream::connect(self.control).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("it can be set");
-        write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").expect("it is open");
+        let mut stream = TcpStream::connect(self.control).expect("the program listens");
+        stream.set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
+        write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").expect("the connection is open");
         let mut text = String::new();
         stream.read_to_string(&mut text).expect("an answer");
         text
     }
 }
 
-/// Takes the connection of a proxy that introduces itself, and welcomes it.
+/// Accepts a connection of the proxy and answers its startup message. Returns the connection and the startup
+/// parameters.
 fn accept(listener: &TcpListener) -> (TcpStream, String) {
-    let (mut stream, _) = listener.accept().expect("it connects");
-    stream.set_read_timeout(Some(PATIENCE)).expect("it can be set");
+    let (mut stream, _) = listener.accept().expect("the proxy connects");
+    stream.set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
     let (_, parameters) = wire::read_startup(&mut stream).expect("a startup message");
-    stream.write_all(&[wire::message(b'R', &[0; 4]), ready()].concat()).expect("it is open");
+    stream.write_all(&[wire::message(b'R', &[0; 4]), ready()].concat()).expect("the connection is open");
     (stream, String::from_utf8_lossy(&parameters).into_owned())
 }
 
@@ -168,7 +173,7 @@
     [wire::table(&table), ready()].concat()
 }
 
-/// Reads the next statement of a client's, and passes over what the proxy asks for itself.
+/// Reads the next client's statement, and answers the proxy's own queries before it.
 fn next_statement(stream: &mut TcpStream) -> String {
     loop {
         let (tag, body) = wire::read(stream).expect("a query");
@@ -177,37 +182,38 @@
             return text;
         }
         let nothing = Table::of(&["x0", "x1"], &[&["0", "0"]]);
-        stream.write_all(&[wire::table(&nothing), ready()].concat()).expect("it is open");
+        stream.write_all(&[wire::table(&nothing), ready()].concat()).expect("the connection is open");
     }
 }
 
-/// The wait that a statement tells, in milliseconds.
+/// The remaining wait that a statement carries, in milliseconds.
 fn wait_of(statement: &str) -> u64 {
     let wait = statement.split_once(",d=").and_then(|(_, rest)| rest.split(',').next());
-    wait.and_then(|wait| wait.parse().ok()).expect("a wait")
+    wait.and_then(|wait| wait.parse().ok()).expect("a wait in milliseconds")
 }
 
 fn read_of(id: u32, set: u64) -> String {
     format!("/* id={id},c=page-read,d=300000,cluster={set} */ SELECT data FROM facts WHERE code = '{id:x}'")
 }
 
-/// A write that is never to run twice.
+/// A write that must never run twice.
 fn unsafe_write_of(id: u32, set: u64) -> String {
     format!("/* id={id},c=plain-write,d=300000,cluster={set} */ INSERT INTO facts (code) VALUES ('{id:x}')")
 }
 
 fn answer(client: &mut Client) -> Reply {
-    client.until_ready().expect("an answer, and no end")
+    client.until_ready().expect("an answer and no close")
 }
 
-/// The way of a request: it goes to the first home as it came, but for the wait, and its answer comes back; the next one goes
-/// over the connection that is there. The db host is not asked.
+/// Guards the usual path of a forwarded request: the first home gets it unchanged except for the remaining
+/// wait, the client gets the home's answer, and the next request uses the same connection. The db host gets
+/// nothing.
 #[test]
 fn request_goes_to_the_first_home_over_a_kept_connection() {
     let group = Group::new("");
     let program = Program::start("first-home", &group);
     let mut client = program.client();
-    client.ask(&read_of(1, group.set)).expect("it is open");
+    client.ask(&read_of(1, group.set)).expect("the connection is open");
     let (mut home, parameters) = accept(&group.homes[0]);
     assert!(parameters.contains("user\0gradeshunt\0") && parameters.contains("application_name\0n0\0"));
     for id in 1..=3 {
@@ -215,10 +221,10 @@
         let wait = wait_of(&statement);
         assert!(wait < 300_000, "the home has less time than the client");
         assert_eq!(statement.replace(&format!(",d={wait},"), ",d=300000,"), read_of(id, group.set));
-        home.write_all(&row(&format!("v{id}"))).expect("it is open");
+        home.write_all(&row(&format!("v{id}"))).expect("the connection is open");
         assert_eq!(answer(&mut client).value(), Some(format!("v{id}")));
         if id < 3 {
-            client.ask(&read_of(id + 1, group.set)).expect("it is open");
+            client.ask(&read_of(id + 1, group.set)).expect("the connection is open");
         }
     }
     let shown = program.call("/placement");
@@ -226,24 +232,25 @@
     assert!(program.call("/status/metrics").contains("app_dispatches 0\n"));
 }
 
-/// A refusal is the home's own, and its advice reaches the client.
+/// Guards against dropping the retry advice (the error's detail) of a refusal by a home.
 #[test]
 fn refusal_of_a_home_keeps_its_advice() {
     let group = Group::new("");
     let program = Program::start("refusal", &group);
     let mut client = program.client();
-    client.ask(&read_of(1, group.set)).expect("it is open");
+    client.ask(&read_of(1, group.set)).expect("the connection is open");
     let (mut home, _) = accept(&group.homes[0]);
     next_statement(&mut home);
     let refusal = wire::message(b'E', b"SERROR\0C53300\0Mno db host can take this now\0D170\0\0");
-    home.write_all(&[refusal, ready()].concat()).expect("it is open");
+    home.write_all(&[refusal, ready()].concat()).expect("the connection is open");
     let reply = answer(&mut client);
     let detail = reply.error.as_ref().and_then(|error| error.2.as_deref());
     assert_eq!((reply.code(), detail), (Some("53300"), Some("170")));
 }
 
-/// A home that refuses the connection, one that turns it away and one that leaves before it has read the request have not run
-/// it: even a write that must never run twice goes to the next home.
+/// Guards against failing requests that cannot have run: a home that refuses the connection, that rejects it,
+/// or that announces its end before it has read the request has not run it, so even a write that must never
+/// run twice goes to the next home.
 #[test]
 fn request_that_cannot_have_run_goes_to_the_next_home() {
     for fault in ["refuses", "turns away", "leaves"] {
@@ -254,37 +261,37 @@
         match fault {
             "refuses" => {
                 drop(first);
-                client.ask(&unsafe_write_of(1, group.set)).expect("it is open");
+                client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
             }
             "turns away" => {
-                client.ask(&unsafe_write_of(1, group.set)).expect("it is open");
-                let (mut stream, _) = first.accept().expect("it connects");
+                client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
+                let (mut stream, _) = first.accept().expect("the proxy connects");
                 wire::read_startup(&mut stream).expect("a startup message");
-                stream.write_all(&wire::error("57P03", "leaving")).expect("it is open");
+                stream.write_all(&wire::error("57P03", "leaving")).expect("the connection is open");
             }
             _ => {
-                client.ask(&unsafe_write_of(1, group.set)).expect("it is open");
+                client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
                 let (mut stream, _) = accept(&first);
                 next_statement(&mut stream);
-                stream.write_all(&wire::error("PX001", "leaving")).expect("it is open");
-                stream.shutdown(Shutdown::Write).expect("it is open");
+                stream.write_all(&wire::error("PX001", "leaving")).expect("the connection is open");
+                stream.shutdown(Shutdown::Write).expect("the connection is open");
             }
         }
         let (mut second, _) = accept(&group.homes[0]);
         assert!(next_statement(&mut second).contains("id=1,"), "{fault}");
-        second.write_all(&row("done")).expect("it is open");
+        second.write_all(&row("done")).expect("the connection is open");
         assert_eq!(answer(&mut client).value().as_deref(), Some("done"), "{fault}");
     }
 }
 
-/// A home that breaks off after it had the request may have run it: a read goes to the next home, a write that must never run
-/// twice fails.
+/// Guards against repeating a write that must never run twice: a home whose connection breaks after it got
+/// the request may have run it. The write fails; a read goes to the next home.
 #[test]
 fn request_that_may_have_run_is_repeated_only_where_its_class_permits() {
     let group = Group::new("");
     let program = Program::start("may-have-run", &group);
     let mut client = program.client();
-    client.ask(&unsafe_write_of(1, group.set)).expect("it is open");
+    client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
     let (mut home, _) = accept(&group.homes[0]);
     next_statement(&mut home);
     drop(home);
@@ -293,28 +300,29 @@
     let group = Group::new("");
     let program = Program::start("read-may-have-run", &group);
     let mut client = program.client();
-    client.ask(&read_of(2, group.set)).expect("it is open");
+    client.ask(&read_of(2, group.set)).expect("the connection is open");
     let (mut home, _) = accept(&group.homes[0]);
     next_statement(&mut home);
     drop(home);
     let (mut second, _) = accept(&group.homes[1]);
     assert!(next_statement(&mut second).contains("id=2,"));
-    second.write_all(&row("v")).expect("it is open");
+    second.write_all(&row("v")).expect("the connection is open");
     assert_eq!(answer(&mut client).value().as_deref(), Some("v"));
 }
 
-/// Where no home can be had the proxy goes to the db host itself; where that is not allowed either, it refuses.
+/// Without a reachable home the proxy sends the request to the db host itself, or refuses it if the placement
+/// file allows no set that is reached directly.
 #[test]
 fn request_without_a_home_goes_direct_or_is_refused() {
     let mut group = Group::new("");
     group.homes.clear();
     let program = Program::start("direct", &group);
     let mut client = program.client();
-    client.ask(&unsafe_write_of(1, group.set)).expect("it is open");
+    client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
     let (mut host, parameters) = accept(&program.host);
     assert!(parameters.contains("user\0portal\0"));
     assert!(next_statement(&mut host).contains("id=1,"));
-    host.write_all(&row("done")).expect("it is open");
+    host.write_all(&row("done")).expect("the connection is open");
     assert_eq!(answer(&mut client).value().as_deref(), Some("done"));
     assert!(program.call("/placement").contains("sets_direct 1\n"));
 
@@ -322,27 +330,29 @@
     group.homes.clear();
     let program = Program::start("not-direct", &group);
     let mut client = program.client();
-    client.ask(&unsafe_write_of(1, group.set)).expect("it is open");
+    client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
     assert_eq!(answer(&mut client).code(), Some("53300"));
 }
 
-/// What comes from another proxy is served here, though this proxy is no home by its own file: nothing is sent on twice.
+/// Guards against forwarding a request twice: a proxy serves what another proxy sends it, although it is no
+/// home by its own placement file.
 #[test]
 fn request_of_another_proxy_is_never_sent_on() {
     let group = Group::new("");
     let program = Program::start("never-twice", &group);
     drop(program.client());
     let introduce = [("user", "gradeshunt"), ("application_name", "h1")];
-    let mut proxy = Client::connect(group.own, &introduce, PATIENCE).expect("it is welcome");
-    proxy.ask(&read_of(1, group.set)).expect("it is open");
+    let mut proxy = Client::connect(group.own, &introduce, PATIENCE).expect("the session starts");
+    proxy.ask(&read_of(1, group.set)).expect("the connection is open");
     let (mut host, _) = accept(&program.host);
     assert!(next_statement(&mut host).contains("id=1,"));
-    host.write_all(&row("v")).expect("it is open");
+    host.write_all(&row("v")).expect("the connection is open");
     assert_eq!(answer(&mut proxy).value().as_deref(), Some("v"));
     assert!(program.call("/placement").contains("sent_on=0 taken=1"));
 }
 
-/// Whoever is no proxy of the group gets an error at the address for proxies; nothing else is touched.
+/// A connection to the address for proxies that does not come from a proxy of the group gets an error;
+/// clients are served as before.
 #[test]
 fn stranger_at_the_address_for_proxies_gets_an_error() {
     let group = Group::new("");
@@ -351,23 +361,24 @@
     let strangers =
         [vec![("user", "portal")], vec![("user", "gradeshunt"), ("application_name", "h9")], vec![]];
     for stranger in strangers {
-        let mut stream = TcpStream::connect(group.own).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("it can be set");
-        stream.write_all(&wire::startup(&stranger)).expect("it is open");
+        let mut stream = TcpStream::connect(group.own).expect("the program listens");
+        stream.set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
+        stream.write_all(&wire::startup(&stranger)).expect("the connection is open");
         let (tag, body) = wire::read(&mut stream).expect("an error");
         assert_eq!((tag, wire::field(&body, b'C').as_deref()), (b'E', Some("28000")), "{stranger:?}");
-        assert_eq!(stream.read(&mut [0]).expect("an end, and no reset"), 0);
+        assert_eq!(stream.read(&mut [0]).expect("a close and no reset"), 0);
     }
-    assert!(client.query("").expect("it is served").error.is_none());
+    assert!(client.query("").expect("the query is answered").error.is_none());
 }
 
-/// A client leaves: the home sees it at once by the reset of its connection. A close would deliver what the system holds of it.
+/// Guards against running a request whose client has left: the proxy resets the connection to the home, which
+/// discards bytes that the kernel has not delivered yet. A plain close would deliver them.
 #[test]
 fn client_that_leaves_ends_the_attempt_at_the_home() {
     let group = Group::new("");
     let program = Program::start("leaves", &group);
     let mut client = program.client();
-    client.ask(&read_of(1, group.set)).expect("it is open");
+    client.ask(&read_of(1, group.set)).expect("the connection is open");
     let (mut home, _) = accept(&group.homes[0]);
     next_statement(&mut home);
     drop(client);
@@ -375,44 +386,45 @@
     assert_eq!(end.kind(), std::io::ErrorKind::ConnectionReset);
 }
 
-/// A home that drains tells other proxies before it closes their connections, so that what crosses the close has not run; it
-/// answers what it has read.
+/// A draining home answers the requests that it has read. Before it closes a connection of another proxy it
+/// announces its end, so that the other proxy knows that a request sent at the same moment has not run.
 #[test]
 fn draining_home_answers_what_it_has_and_tells_that_it_leaves() {
     let group = Group::new("");
     let program = Program::start("drains", &group);
     drop(program.client());
     let introduce = [("user", "gradeshunt"), ("application_name", "h1")];
-    let connect = || Client::connect(group.own, &introduce, PATIENCE).expect("it is welcome");
+    let connect = || Client::connect(group.own, &introduce, PATIENCE).expect("the session starts");
     let (mut busy, mut idle) = (connect(), connect());
-    busy.ask(&read_of(1, group.set)).expect("it is open");
+    busy.ask(&read_of(1, group.set)).expect("the connection is open");
     let (mut host, _) = accept(&program.host);
     next_statement(&mut host);
     let kill = Command::new("kill").arg("-TERM").arg(program.child.borrow().id().to_string()).status();
     assert!(kill.is_ok_and(|status| status.success()));
     last_message(&mut idle);
-    host.write_all(&row("v")).expect("it is open");
+    host.write_all(&row("v")).expect("the connection is open");
     assert_eq!(answer(&mut busy).value().as_deref(), Some("v"));
     last_message(&mut busy);
 }
 
-/// Reads the last message to another proxy, and the end behind it.
+/// Reads the message that announces a home's end to another proxy, and the end of the connection after it.
 fn last_message(proxy: &mut Client) {
-    let (tag, body) = wire::read(proxy.stream()).expect("a last message");
+    let (tag, body) = wire::read(proxy.stream()).expect("the message that announces the end");
     assert_eq!((tag, wire::field(&body, b'C').as_deref()), (b'E', Some("PX001")));
-    assert_eq!(proxy.stream().read(&mut [0]).expect("an end, and no reset"), 0);
+    assert_eq!(proxy.stream().read(&mut [0]).expect("a close and no reset"), 0);
 }
 
-/// Operators' slips: a file or an address that can't be used refuses the start with one line that names it.
+/// Guards against operators' mistakes: a placement file or an address that cannot be used refuses the start
+/// with an error that names it.
 #[test]
 fn file_that_cannot_be_used_refuses_the_start() {
     let refused = |name: &str, edit: &dyn Fn(&Group) -> String| {
         let mut group = Group::new("");
         group.text = edit(&group);
         let program = Program::start(name, &group);
-        let status = program.child.borrow_mut().wait().expect("it ends");
+        let status = program.child.borrow_mut().wait().expect("the process ends");
         assert!(!status.success(), "{name}");
-        std::fs::read_to_string(program.folder.join("log")).expect("its log")
+        std::fs::read_to_string(program.folder.join("log")).expect("the log can be read")
     };
     let unlisted = refused("unlisted", &|group| group.text.replace("\"n0\"", "\"n9\""));
     assert!(
@@ -424,12 +436,12 @@
     assert!(twice.contains("placement.textproto:4") && twice.contains("\"h1\" is given twice"), "{twice}");
     let nowhere = refused("nowhere", &|group| group.text.replace(&format!("address: \"{}\"", group.own), ""));
     assert!(nowhere.contains("has no address for other proxies"), "{nowhere}");
-    // No address of this machine's.
+    // An address that this machine does not have.
     let foreign = refused("foreign", &|group| group.text.replace(&group.own.to_string(), "192.0.2.1:6432"));
     assert!(foreign.contains("cannot listen for other proxies at 192.0.2.1:6432"), "{foreign}");
 }
 
-/// SIGHUP reads the file anew: one that can't be used changes nothing, and one that can counts at once.
+/// SIGHUP reloads the placement file: an unusable one changes nothing, and a usable one takes effect at once.
 #[test]
 fn roster_is_read_anew() {
     let group = Group::new("");
@@ -442,8 +454,9 @@
     let more = group.text.replacen("proxy {", "proxy { name: \"h3\" zone: \"here\" } proxy {", 1);
     program.reread(&more);
     while !program.call("/placement").contains("proxy h3 no address\n") {}
-    // Other proxies of the new roster may connect.
+    // A proxy that only the new file lists may connect.
     let introduce = [("user", "gradeshunt"), ("application_name", "h3")];
-    let mut proxy = Client::connect(group.own, &introduce, PATIENCE).expect("it is accepted");
-    assert!(proxy.query("").expect("it is served").error.is_none());
+    let mut proxy =
+        Client::connect(group.own, &introduce, PATIENCE).expect("the session of the new proxy starts");
+    assert!(proxy.query("").expect("the query is answered").error.is_none());
 }
--- a/crates/gradeshunt/tests/placement_command.rs
+++ b/crates/gradeshunt/tests/placement_command.rs
@@ -1,10 +1,14 @@
-//! `gradeshunt placement`: the groups of a file, and its faults.
+//! Tests of `gradeshunt placement`, which prints a placement file's groups or its errors.
 
 use std::path::Path;
 use std::process::{Command, Output};
 
 fn placement(file: &Path) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_gradeshunt")).arg("placement").arg(file).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_gradeshunt"))
+        .arg("placement")
+        .arg(file)
+        .output()
+        .expect("the program can be started")
 }
 
 fn example() -> std::path::PathBuf {
@@ -20,13 +24,16 @@
     assert_eq!(count("group "), 2, "{text}");
     assert!(text.contains("group north/0: 3 proxies") && text.contains("group south/0: 4 proxies"), "{text}");
     assert_eq!(count("  proxy "), 7, "{text}");
-    // 12 of 14.5, of which a part is at most a quarter of a sixth: 20 parts in each group. 1 of 14.5 is two parts, 0.5 is one.
+    // Set 1 has 12 of the total weight of 14.5. A part has at most a quarter of a sixth of the total
+    // (`group_size.most` is 6), so set 1 has 20 parts in each group. A set of weight 1 has two parts, and one
+    // of weight 0.5 has one.
     assert_eq!(count("  set 1 part "), 40, "{text}");
     assert_eq!((count("  set 2 part "), count("  set 4 part ")), (4, 2), "{text}");
     let loads = text.lines().filter_map(|line| line.split_once(" load ")?.1.split(' ').next());
     let loads: Vec<f64> = loads.map(|load| load.parse().expect("a number")).collect();
     assert!(loads.len() == 7 && loads.iter().all(|load| (0.01..=1.25).contains(load)), "{loads:?}");
-    // 128 connections over two groups of 20 parts.
+    // The 128 connections to each db host of set 1 are shared among the set's 20 parts in each of the two
+    // groups.
     let connections = |line: &str| line.rsplit(' ').next()?.parse::<u32>().ok();
     let of_heavy: u32 = text.lines().filter(|l| l.starts_with("  set 1 ")).filter_map(connections).sum();
     assert_eq!(of_heavy, 128, "{text}");
@@ -36,7 +43,8 @@
 fn tells_a_fault_in_one_line() {
     let text = std::fs::read_to_string(example()).expect("the example");
     let file = std::env::temp_dir().join(format!("placement-{}.textproto", std::process::id()));
-    std::fs::write(&file, text.replace("name: \"south-4\"", "name: \"south-3\"")).expect("it is written");
+    std::fs::write(&file, text.replace("name: \"south-4\"", "name: \"south-3\""))
+        .expect("the file can be written");
     let output = placement(&file);
     let _ = std::fs::remove_file(&file);
     assert!(!output.status.success() && output.stdout.is_empty());
--- a/crates/gradeshunt/tests/placement_fleet.rs
+++ b/crates/gradeshunt/tests/placement_fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program with placement on, broken by faults that a seed draws. Plays wait for answers, never for
-//! time; docs/fleet-rig.md tells what is checked.
+//! Runs several processes of the program with placement on and with faults that are drawn from a seed. The
+//! runs wait for answers, never for a time; docs/fleet-rig.md describes the checks.
 
 use std::path::Path;
 use std::time::Duration;
@@ -8,7 +8,8 @@
 use gradeshunt_fleet_rig::placement::play;
 use gradeshunt_fleet_rig::placement::roster::Shape;
 
-/// Far above what a busy machine adds to a wait: only a request that is never answered takes longer.
+/// How late an answer may be. Far more than a busy machine adds to a wait, so only a request that is never
+/// answered exceeds it.
 const SLACK: Duration = Duration::from_secs(60);
 
 fn play_seed(seed: u64) {
@@ -24,12 +25,12 @@
         slack: SLACK,
         drains_at_once: false,
     };
-    let report = play(&options).expect("it plays");
+    let report = play(&options).expect("the run completes");
     assert!(report.faults.is_empty(), "{:#?}\n{report}", report.marks);
-    assert!(!report.hops.is_empty(), "requests went over other proxies: {report}");
+    assert!(!report.hops.is_empty(), "no request was forwarded to another proxy: {report}");
     let seen = report.account;
     assert!(seen.home > 0 && seen.sent_on > 0 && seen.taken > 0, "{seen:?}");
-    assert!(report.unavailable > 0, "a lost home was noticed: {:#?}", report.marks);
+    assert!(report.unavailable > 0, "no proxy noticed the loss of a home: {:#?}", report.marks);
     let _ = std::fs::remove_dir_all(folder);
 }
 
--- a/crates/gradeshunt/tests/sites.rs
+++ b/crates/gradeshunt/tests/sites.rs
@@ -1,5 +1,6 @@
-//! Several processes of the program in several sites, of which one is lost and comes back. The script waits for answers and for
-//! what proxies say, never for time; docs/fleet-rig.md tells what is checked.
+//! Runs several processes of the program at several sites, one of which is lost and comes back. The script
+//! waits for answers and for the state that proxies report, never for a time; docs/fleet-rig.md describes the
+//! checks.
 
 use std::path::Path;
 
@@ -7,13 +8,13 @@
 
 fn play(name: &str, seed: u64) -> outcome::Report {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fleet-rig/scripts/sites");
-    let read = |file: &str| std::fs::read_to_string(folder.join(file)).expect("the script");
-    let script = event::parse(&read(&format!("{name}.textproto"))).expect("a script");
+    let read = |file: &str| std::fs::read_to_string(folder.join(file)).expect("the file can be read");
+    let script = event::parse(&read(&format!("{name}.textproto"))).expect("the script is valid");
     let scratch =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("sites-{name}-{seed}-{}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_gradeshunt"));
     let options = region::Options::of(program, &scratch, seed);
-    let report = region::play(&script, &read(&script.sites), &options).expect("it plays");
+    let report = region::play(&script, &read(&script.sites), &options).expect("the run completes");
     let _ = std::fs::remove_dir_all(scratch);
     report
 }
--- a/crates/gradeshunt/tests/soak.rs
+++ b/crates/gradeshunt/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak test in its short form: a few seeds over a dozen processes. `gradeshunt-soak` plays longer ones.
+//! The soak test in a short form: a few seeds with a dozen processes. `gradeshunt-soak` runs longer ones.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,19 +7,19 @@
 
 const SEEDS: [u64; 2] = [1, 2];
 const CROWDED_SEED: u64 = 3;
-/// More than a process has descriptors for.
+/// Number of idle client connections to each process, more than it has descriptors for.
 const CROWD: usize = 300;
 
-/// Plays a seed whose processes have so many resting connections before them.
+/// Plays a seed with `crowd` idle client connections to each process.
 fn plays_soundly(seed: u64, crowd: usize) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}-{}", std::process::id()));
     let mut options = Options::of(Path::new(env!("CARGO_BIN_EXE_gradeshunt")), &folder, seed);
     options.proxies = 12;
     options.crowd = crowd;
     options.lasts = Duration::from_secs(6);
-    let report = play(&options).expect("it plays");
+    let report = play(&options).expect("the run completes");
     assert!(report.is_sound(), "{report}");
-    assert!(!report.pairs.is_empty(), "troubles overlapped: {report}");
+    assert!(!report.pairs.is_empty(), "no faults overlapped: {report}");
 }
 
 #[test]
@@ -27,7 +27,8 @@
     SEEDS.into_iter().for_each(|seed| plays_soundly(seed, 0));
 }
 
-/// Guards what is read against closes for room: a process short of descriptors closes many clients amid other troubles.
+/// Guards against losing requests when clients are closed to free descriptors: a process short of descriptors
+/// closes many idle clients during other faults.
 #[test]
 fn crowded_processes_under_overlapping_troubles_break_no_rule() {
     plays_soundly(CROWDED_SEED, CROWD);
--- a/crates/gradeshunt/tests/stepped_clocks.rs
+++ b/crates/gradeshunt/tests/stepped_clocks.rs
@@ -1,7 +1,8 @@
-//! Wall clocks that are stepped while a process runs: those of all machines together, and the process's own alone.
+//! Tests of wall clocks that are stepped while a process runs: those of all machines together, or the
+//! process's own alone.
 //!
-//! Reads whose data may be 200 ms old, one after the other, at a set of a primary, a standby that follows it, and one whose position
-//! stands still.
+//! The test sends reads whose data may be 200 ms old, one after the other, to a set of a primary, a standby
+//! that follows it, and a standby whose position is frozen.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -14,23 +15,23 @@
 use gradeshunt_stand_ins::standalone::{own_address, Standalone, Start};
 use serde_json::json;
 
-/// A wait that ends a test which fails, and bounds none that passes.
+/// Time limit of each wait; only a failing test reaches it.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// Reads that are counted together, and the most of them that may go to the primary.
+/// Number of reads that are counted together, and how many of them may go to the primary.
 const READS: usize = 100;
 const MOST_AT_PRIMARY: u64 = 20;
-/// How far the standby is behind that stands still, and how far the clocks are stepped: by as much, so that a step back makes
-/// its position look current once.
+/// How far the frozen standby is behind, and how far the clocks are stepped: by the same time, so that a step
+/// back makes the frozen position look current for a moment.
 const BEHIND: Duration = Duration::from_secs(10);
 const NANOSECONDS: i64 = 1_000_000;
-/// A short aim: reads are held for 12 ms at most.
+/// The target time of all classes, short so that reads are held for 12 ms at most.
 const AIM_MS: f64 = 100.0;
 
 fn scratch(name: &str) -> PathBuf {
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("stepped-{name}-{}", std::process::id()))
 }
 
-/// Whose clocks are stepped.
+/// Which wall clocks are stepped.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stepped {
     All,
@@ -50,13 +51,14 @@
         Play::open_off_by(name, 0)
     }
 
-    /// Starts a process whose own wall clock is off by so much.
+    /// Starts a process whose own wall clock is off by `ms`.
     fn open_off_by(name: &str, ms: i64) -> Play {
-        let site = Site::open(&Arc::new(Ledger::default()), 1).expect("a site");
+        let site = Site::open(&Arc::new(Ledger::default()), 1).expect("the site starts");
         site.hosts[2].freeze_behind(BEHIND);
-        let shim = Shim::build(&scratch(&format!("{name}-shim"))).expect("a C compiler");
-        let control = FaultControl::create(&shim, &scratch(&format!("{name}-control"))).expect("a file");
-        control.set(Knob::WallOffset, ms * NANOSECONDS).expect("it is set");
+        let shim = Shim::build(&scratch(&format!("{name}-shim"))).expect("a C compiler builds the shim");
+        let control = FaultControl::create(&shim, &scratch(&format!("{name}-control")))
+            .expect("the control file can be made");
+        control.set(Knob::WallOffset, ms * NANOSECONDS).expect("the clock offset can be set");
         let mut config = site.config(0, 1, own_address(), 0);
         for class in config["settings"]["categories"].as_array_mut().expect("classes") {
             class["slo"] = json!(AIM_MS);
@@ -68,10 +70,10 @@
             shell: "",
             environment: control.environment(),
         };
-        let program = Standalone::start(start, |_| {}).expect("it starts");
+        let program = Standalone::start(start, |_| {}).expect("the program can be started");
         drop(program.connect(PATIENCE));
         let client =
-            Client::connect(program.addr, &[("user", "portal")], PATIENCE).expect("its session starts");
+            Client::connect(program.addr, &[("user", "portal")], PATIENCE).expect("the session starts");
         Play { site, program, control, client, asked: 0 }
     }
 
@@ -79,10 +81,10 @@
         if whose == Stepped::All {
             self.site.wall.step_to(ms);
         }
-        self.control.set(Knob::WallOffset, ms * NANOSECONDS).expect("it is set");
+        self.control.set(Knob::WallOffset, ms * NANOSECONDS).expect("the clock offset can be set");
     }
 
-    /// Asks [`READS`] times: how many were served by the primary, and how many by the standby that stands still.
+    /// Sends [`READS`] reads. Returns how many the primary served, and how many the frozen standby.
     fn read(&mut self) -> (u64, u64) {
         let counts = |site: &Site| (site.hosts[0].reads(), site.hosts[2].reads());
         let before = counts(&self.site);
@@ -99,7 +101,8 @@
         (after.0 - before.0, after.1 - before.1)
     }
 
-    /// Reads on until they go to the standby that follows, and to no other.
+    /// Reads on until nearly all reads go to the standby that follows the primary, and none to the frozen
+    /// one.
     fn until_at_the_current_standby(&mut self, when: &str) {
         let began = Instant::now();
         loop {
@@ -109,21 +112,22 @@
             }
             assert!(
                 began.elapsed() < PATIENCE,
-                "{when}: {primary} of {READS} at the primary, {frozen} at the one that stands still: {}",
+                "{when}: {primary} of {READS} at the primary, {frozen} at the frozen standby: {}",
                 self.program.log()
             );
         }
     }
 }
 
-/// Whoever is stepped and how far, reads come back to the standby that follows and stay there; none goes to the one that stands
-/// still, whose position may look current to the new clock.
+/// Guards against reads that stay at the primary, or go to the frozen standby, after a clock step: they
+/// return to the standby that follows the primary and stay there, although the frozen position may look
+/// current by the new clock.
 fn reads_stay_at_the_current_standby(name: &str, whose: Stepped, ms: i64) {
     let mut play = Play::open(name);
     play.until_at_the_current_standby("before the step");
     play.step(whose, ms);
     play.until_at_the_current_standby("after the step");
-    // Once there they stay.
+    // From then on the reads stay there.
     let (primary, frozen) = play.read();
     assert!(primary <= MOST_AT_PRIMARY && frozen == 0, "{primary} and {frozen} of {READS}");
 }
@@ -150,7 +154,8 @@
     reads_stay_at_the_current_standby("alone-forward", Stepped::ProcessAlone, BEHIND.as_millis() as i64);
 }
 
-/// Guards reads of a process that starts while its own wall clock is wrong: they all went to the primary.
+/// Guards the reads of a process that starts while its own wall clock is wrong: all of them went to the
+/// primary.
 fn process_whose_clock_is_off_reads_at_the_current_standby(name: &str, ms: i64) {
     let mut play = Play::open_off_by(name, ms);
     play.until_at_the_current_standby("from the start");
--- a/crates/gradeshunt/tests/try_it.rs
+++ b/crates/gradeshunt/tests/try_it.rs
@@ -1,4 +1,4 @@
-//! README's "Try it": the example configurations beside the toy site, at ports that the system gives.
+//! Tests the README's "Try it" section: the example configurations with the toy site, at free ports.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -10,15 +10,15 @@
 use gradeshunt_stand_ins::toy::{open, Addresses};
 use serde_json::Value;
 
-/// Each address of the example gets a free port; one that stands there twice gets the same port twice.
+/// Replaces each address of an example by one with a free port; the same address always gets the same port.
 #[derive(Default)]
 struct Ports(BTreeMap<String, (TcpListener, SocketAddr)>);
 
 impl Ports {
     fn of(&mut self, address: &str) -> String {
         let free = || {
-            let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-            let addr = listener.local_addr().expect("its address");
+            let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+            let addr = listener.local_addr().expect("the listener has an address");
             (listener, addr)
         };
         self.0.entry(address.to_owned()).or_insert_with(free).1.to_string()
@@ -43,7 +43,8 @@
     }
 }
 
-/// Starts the program on an example's configuration, asks, and tells its figures.
+/// Starts the program with an example's configuration, sends the statements, and returns the program's
+/// metrics.
 fn try_out(name: &str, config: &str, statements: [&str; 2]) -> String {
     let mut config: Value = serde_json::from_str(config).expect("JSON");
     let mut ports = Ports::default();
@@ -56,22 +57,22 @@
         primary: ports.of(&primary),
         replica: ports.of(&replica),
     };
-    // Held until here, so that all differ.
+    // The listeners were kept open until here, so that all ports differ.
     drop(ports);
     let _toy = open(&addresses).expect("the toy site starts");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("try-it-{name}-{}", std::process::id()));
-    let mut platform =
-        Platform::new(Path::new(env!("CARGO_BIN_EXE_gradeshunt")), &folder, false).expect("a folder");
-    platform.configure(&config).expect("a file");
-    // The address of the file, not one that the platform gives.
+    let mut platform = Platform::new(Path::new(env!("CARGO_BIN_EXE_gradeshunt")), &folder, false)
+        .expect("the folder can be made");
+    platform.configure(&config).expect("the file can be written");
+    // The operators' address comes from the configuration, not from the platform.
     platform.control = None;
-    let process = platform.start().expect("it starts");
+    let process = platform.start().expect("the program can be started");
     assert_eq!(Some(process.control.to_string().as_str()), config["control"].as_str());
-    process.ready().expect("it serves");
-    let listen = process.listen.expect("it tells where");
+    process.ready().expect("the program serves");
+    let listen = process.listen.expect("the program logs its listen address");
     let patience = Duration::from_secs(60);
     let mut client = Client::connect(listen, &[("user", "portal"), ("database", "crm")], patience)
-        .expect("its session starts");
+        .expect("the session starts");
     for statement in statements {
         let reply = client.query(statement).expect("an answer");
         assert_eq!(reply.value().as_deref(), Some("hello"), "{reply:?}");
--- a/crates/gradeshunt/tests/upgrade.rs
+++ b/crates/gradeshunt/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! An upgrade under load with two processes on one socket, and a disk that stands amid it: nothing ends at the door.
+//! Tests upgrades under load with two processes on one listening socket, while reads of the shared folder
+//! block as on a disk that does not answer: no client is refused or reset when it connects.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,34 +10,37 @@
 
 #[test]
 fn nothing_ends_at_the_door_while_the_disk_stands() {
-    let site = Site::open(Plan::default()).expect("a site");
+    let site = Site::open(Plan::default()).expect("the stand-in site starts");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("upgrade-{}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_gradeshunt"));
-    let (platform, mut first) = begin(program, &folder, &site).expect("it starts");
-    let shared = shared_folder(&platform).expect("it is there");
-    let load = Load::start(platform.held_addr().expect("it is held"), 0..3, 600_000);
+    let (platform, mut first) = begin(program, &folder, &site).expect("the program can be started");
+    let shared = shared_folder(&platform).expect("the shared folder exists");
+    let load = Load::start(platform.held_addr().expect("the platform holds the socket"), 0..3, 600_000);
     load.another(30);
 
-    // One that stands while nothing else happens: requests are served all the same, and far more of them than between
-    // two looks at the folder.
-    let standing = Standing::begin(&shared).expect("a pipe");
+    // The folder blocks while nothing else happens: the process goes on serving requests, far more of them
+    // than come between two of its reads of the folder.
+    let standing = Standing::begin(&shared).expect("the named pipe can be made");
     load.another(2000);
     drop(standing);
-    assert_eq!(load.checker.counts().at_the_door(), 0, "the loop waits for the disk");
+    assert_eq!(load.checker.counts().at_the_door(), 0, "the event loop waits for the disk");
 
-    // One that stands while a successor starts, and goes on only after that has begun.
-    let standing = Standing::begin(&shared).expect("a pipe");
-    let mut second = platform.start().expect("it starts");
+    // The folder blocks while a successor starts, and is released only after requests came during its start.
+    let standing = Standing::begin(&shared).expect("the named pipe can be made");
+    let mut second = platform.start().expect("the program can be started");
     load.another(60);
     drop(standing);
-    second.until("serving").expect("it serves");
-    first.signal("TERM").expect("it can be told");
+    second.until("serving").expect("the successor serves");
+    first.signal("TERM").expect("the signal can be sent");
     load.another(60);
-    let ended = first.exits(Duration::from_secs(60)).expect("it can be waited for");
-    assert!(ended.is_some_and(|s| s.success()), "it ends once it has answered all: {ended:?}");
+    let ended = first.exits(Duration::from_secs(60)).expect("the process can be waited for");
+    assert!(
+        ended.is_some_and(|s| s.success()),
+        "the first process ends once it has answered all requests: {ended:?}"
+    );
 
-    // And one without.
-    let (third, _) = upgrade(&platform, second).expect("it goes over");
+    // An upgrade while the folder does not block.
+    let (third, _) = upgrade(&platform, second).expect("the next process takes over");
     load.another(60);
     let (status, figures) = third.call("GET", "/status/loop").expect("an answer");
     let turns =
