--- a/crates/gradeshunt/tests/cli.rs
+++ b/crates/gradeshunt/tests/cli.rs
@@ -16,7 +16,7 @@
     child.wait_with_output().expect("the program ends")
 }
 
-fn accesses(output: &Output) -> Vec<(String, String)> {
+fn access_and_target(output: &Output) -> Vec<(String, String)> {
     let text = String::from_utf8_lossy(&output.stdout);
     let line = |l: &str| {
         let told: serde_json::Value = serde_json::from_str(l).expect("each line is a JSON object");
@@ -47,14 +47,14 @@
     ];
     let output = run(&["classify"], input);
     assert!(output.status.success());
-    assert_eq!(accesses(&output), expected);
+    assert_eq!(access_and_target(&output), expected);
     let output = run(&["classify", "--null"], b"SELECT\n1\0DELETE\nFROM t\0");
-    assert_eq!(accesses(&output), [pair("read", "replica"), pair("write", "primary")]);
+    assert_eq!(access_and_target(&output), [pair("read", "replica"), pair("write", "primary")]);
     let rules = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/rules.textproto");
     let output =
         run(&["classify", "--rules", rules], b"SELECT turnout(1) FROM t WHERE a = 1\nDELETE FROM t\nBEGIN\n");
     let expected = [pair("read", "replica"), pair("write", "primary"), pair("session", "primary")];
-    assert_eq!(accesses(&output), expected);
+    assert_eq!(access_and_target(&output), expected);
     let text = String::from_utf8_lossy(&output.stdout);
     let classes: Vec<_> =
         text.lines().map(|l| l.split("\"class\":").nth(1).and_then(|c| c.split(',').next())).collect();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn check_reads_a_configuration_and_names_what_is_wrong() {
+fn check_reports_an_unusable_configuration() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json");
     let output = run(&["check", example], b"");
     let said = String::from_utf8_lossy(&output.stdout);
@@ -83,7 +83,7 @@
 /// Guards the exit status of `gradeshunt plan`, by which scripts see whether the other sites can take over
 /// when sites are lost; the example has losses of both kinds.
 #[test]
-fn plan_tells_by_its_status_what_is_borne() {
+fn plan_exit_status_shows_which_losses_are_borne() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/sites.textproto");
     let plan = |arguments: &[&str]| {
         let output = run(&[&["plan", file], arguments].concat(), b"");
@@ -111,7 +111,7 @@
 
 /// Guards against operators' mistakes: `check` reports a sites file that does not fit the settings.
 #[test]
-fn check_tells_of_a_file_on_sites_that_does_not_fit() {
+fn check_reports_a_sites_file_that_does_not_fit_the_settings() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
     let text = std::fs::read_to_string(format!("{root}/examples/config.json")).expect("the example");
     let mut config: serde_json::Value = serde_json::from_str(&text).expect("JSON");
--- a/crates/gradeshunt/tests/config.rs
+++ b/crates/gradeshunt/tests/config.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 
 #[test]
-fn bad_configuration_gets_a_plain_error() {
+fn bad_configuration_gets_a_one_line_error() {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let good = include_str!("../../../examples/config.json");
     let shared = include_str!("../../../examples/shared.json");
@@ -81,27 +81,27 @@
             .env_remove("ROUTER_LISTEN_FD")
             .output()
             .expect("the program can be started");
-        let said = String::from_utf8_lossy(&run.stderr);
-        assert_eq!(run.status.code(), Some(1), "{name}: {said}");
-        let line = said.strip_suffix('\n').unwrap_or_default();
+        let stderr = String::from_utf8_lossy(&run.stderr);
+        assert_eq!(run.status.code(), Some(1), "{name}: {stderr}");
+        let line = stderr.strip_suffix('\n').unwrap_or_default();
         assert!(
             line.starts_with("gradeshunt: ") && line.contains(complaint) && !line.contains('\n'),
-            "{name}: {said}"
+            "{name}: {stderr}"
         );
     }
     let file = dir.join("good.json");
     std::fs::write(&file, good).expect("the file can be written");
-    let odd = [
+    let bad_environment = [
         ("ROUTER_CONTROL", "localhost", "ROUTER_CONTROL is not an address"),
         ("ROUTER_LISTEN_FD", "seven", "ROUTER_LISTEN_FD is no descriptor"),
         ("ROUTER_LISTEN_FD", "1000000", "cannot listen on descriptor 1000000"),
     ];
-    for (name, value, complaint) in odd {
+    for (name, value, complaint) in bad_environment {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gradeshunt"));
         command.env("ROUTER_CONFIG", &file).env_remove("ROUTER_CONTROL").env_remove("ROUTER_LISTEN_FD");
         let run = command.env(name, value).output().expect("the program can be started");
-        let said = String::from_utf8_lossy(&run.stderr);
-        assert!(run.status.code() == Some(1) && said.contains(complaint), "{name}: {said}");
+        let stderr = String::from_utf8_lossy(&run.stderr);
+        assert!(run.status.code() == Some(1) && stderr.contains(complaint), "{name}: {stderr}");
     }
     let run = Command::new(env!("CARGO_BIN_EXE_gradeshunt"))
         .env_remove("ROUTER_CONFIG")
--- a/crates/gradeshunt/tests/exchanges.rs
+++ b/crates/gradeshunt/tests/exchanges.rs
@@ -33,7 +33,7 @@
 
 /// The deployment whose settings the program gets (docs/deployments.md describes how they differ).
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Site {
+enum Deployment {
     /// Keyed writes, db hosts that refuse a read if their data is too old for it, roles in the member list.
     Keyed,
     /// Writes that must never run twice, db hosts that answer a read however old their data is, no roles in
@@ -41,27 +41,27 @@
     Shared,
 }
 
-impl Site {
+impl Deployment {
     fn settings(self) -> Value {
         match self {
-            Site::Keyed => keyed(),
-            Site::Shared => shared(),
+            Deployment::Keyed => keyed_settings(),
+            Deployment::Shared => shared_settings(),
         }
     }
 
-    /// Replaces the class names in a line, which are those of [`Site::Keyed`], by this deployment's.
+    /// Replaces the class names in a line, which are those of [`Deployment::Keyed`], by this deployment's.
     fn translate(self, line: &str) -> String {
         match self {
-            Site::Keyed => line.to_owned(),
-            Site::Shared => line
+            Deployment::Keyed => line.to_owned(),
+            Deployment::Shared => line
                 .replace("c=tally-write", "c=contact-entry,t=north")
                 .replace("c=own-read", "c=own-log-read,t=north"),
         }
     }
 }
 
-fn shared() -> Value {
-    let mut settings = keyed();
+fn shared_settings() -> Value {
+    let mut settings = keyed_settings();
     settings["categories"] = json!([
         {"deadline": 600000.0, "group": "all", "keyTtl": 0.0, "lateWorth": 0.2, "name": "own-log-read",
          "repeat": "pure", "slo": 20000.0, "worth": 2.0},
@@ -82,7 +82,7 @@
     settings
 }
 
-fn keyed() -> Value {
+fn keyed_settings() -> Value {
     json!({
         "allowed": {"mayCancel": true, "maxRetryAfter": 2000.0, "peers": false, "probing": true,
             "retryAfter": true, "secondCopies": false, "sendCap": 8, "connIdle": 30000.0, "connectTimeout": 600000.0},
@@ -103,13 +103,13 @@
 }
 
 /// Fewer bytes than this are written by the test's own thread.
-const AT_ONCE: usize = 16 * 1024;
+const MAX_DIRECT_WRITE: usize = 16 * 1024;
 
 /// The program with the clients, operators, db hosts and discovery that a file plays.
-struct Stage {
+struct Player {
     program: Child,
     /// The process from before an upgrade.
-    former: Option<Child>,
+    previous: Option<Child>,
     /// The listening socket that the platform holds and passes to each process.
     held: Option<TcpListener>,
     /// The program's log, line by line.
@@ -120,28 +120,28 @@
     control: String,
     listeners: BTreeMap<String, TcpListener>,
     peers: BTreeMap<String, TcpStream>,
-    kept_back: Vec<u8>,
-    record: String,
+    pending_bytes: Vec<u8>,
+    transcript: String,
 }
 
-impl Drop for Stage {
+impl Drop for Player {
     fn drop(&mut self) {
-        for program in self.former.iter_mut().chain([&mut self.program]) {
+        for program in self.previous.iter_mut().chain([&mut self.program]) {
             let _ = program.kill();
             let _ = program.wait();
         }
     }
 }
 
-impl Stage {
+impl Player {
     fn open(
-        site: Site,
+        deployment: Deployment,
         hosts: &str,
         memory_mb: u32,
         sockets: u32,
         held: bool,
         set: &[(String, Value)],
-    ) -> Stage {
+    ) -> Player {
         let listen = || TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let mut listeners = BTreeMap::from(["discovery", "moved"].map(|n| (n.to_owned(), listen())));
         let mut known = Vec::new();
@@ -152,7 +152,7 @@
                 "machineType": "m", "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0, "replication": role}));
             listeners.insert(name.to_owned(), listener);
         }
-        let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "7", "settings": site.settings(),
+        let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "7", "settings": deployment.settings(),
             "discovery": listeners["discovery"].local_addr().expect("the listener has an address").to_string(),
             "watch_silence_ms": 600000,
             "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
@@ -169,9 +169,9 @@
         std::fs::create_dir_all(&shared).expect("the folder can be made");
         let held = held.then(listen);
         let (program, log) = start(&file, held.as_ref());
-        let mut stage = Stage {
+        let mut player = Player {
             program,
-            former: None,
+            previous: None,
             held,
             log,
             config,
@@ -180,32 +180,32 @@
             control: String::new(),
             listeners,
             peers: BTreeMap::new(),
-            kept_back: Vec::new(),
-            record: String::new(),
+            pending_bytes: Vec::new(),
+            transcript: String::new(),
         };
-        let serving = stage.logged("serving");
-        (stage.address, stage.control) = (named(&serving, "listen"), named(&serving, "control"));
-        stage
+        let serving = player.wait_for_log("serving");
+        (player.address, player.control) = (log_field(&serving, "listen"), log_field(&serving, "control"));
+        player
     }
 
     /// Waits for a log line that contains `what`.
-    fn logged(&self, what: &str) -> String {
+    fn wait_for_log(&self, what: &str) -> String {
         self.log.iter().find(|l| l.contains(what)).expect("the program logs the line")
     }
 
-    /// The process that SIGTERM and `exits` refer to: the former one during an upgrade.
-    fn former(&mut self) -> &mut Child {
-        self.former.as_mut().unwrap_or(&mut self.program)
+    /// The process that SIGTERM and `exits` refer to: the previous one during an upgrade.
+    fn signal_target(&mut self) -> &mut Child {
+        self.previous.as_mut().unwrap_or(&mut self.program)
     }
 
     fn play(&mut self, line: &str) {
-        self.record += &format!("{line}\n");
+        self.transcript += &format!("{line}\n");
         let (who, rest) = line.split_once(' ').unwrap_or((line, ""));
         if let Some(who) = who.strip_suffix('>').or_else(|| who.strip_suffix('+')) {
-            self.kept_back.extend(encode(&self.fill_in(rest)));
+            self.pending_bytes.extend(encode(&self.substitute_addresses(rest)));
             if line.starts_with(&format!("{who}>")) {
-                let bytes = std::mem::take(&mut self.kept_back);
-                if bytes.len() < AT_ONCE {
+                let bytes = std::mem::take(&mut self.pending_bytes);
+                if bytes.len() < MAX_DIRECT_WRITE {
                     (&self.peers[who]).write_all(&bytes).expect("the program accepts the bytes");
                 } else {
                     // The program may stop reading until another peer has read what it passes on, so a thread
@@ -215,8 +215,8 @@
                 }
             }
         } else if let Some(who) = who.strip_suffix('<') {
-            let heard = listen_until(&self.peers[who], rest);
-            self.record += &self.make_plain(&heard);
+            let received = read_until(&self.peers[who], rest);
+            self.transcript += &self.normalize(&received);
         } else {
             self.step(who, rest);
         }
@@ -231,12 +231,15 @@
                     Err(_) => vec![who.to_owned()],
                 };
                 for name in names {
-                    self.peers.insert(name, patient(TcpStream::connect(to).expect("the program accepts")));
+                    self.peers.insert(
+                        name,
+                        with_read_timeout(TcpStream::connect(to).expect("the program accepts")),
+                    );
                 }
             }
             ("accepts", name) => {
                 let (peer, _) = self.listeners[who].accept().expect("the program connects");
-                self.peers.insert(name.to_owned(), patient(peer));
+                self.peers.insert(name.to_owned(), with_read_timeout(peer));
             }
             ("closes", _) => self.peers[who].shutdown(Shutdown::Both).expect("the connection is open"),
             ("resets", _) => {
@@ -258,33 +261,33 @@
             _ if who == "upgrade" => {
                 let (program, log) = start(&self.file, self.held.as_ref());
                 self.log = log;
-                self.former = Some(std::mem::replace(&mut self.program, program));
-                self.control = named(&self.logged("starting"), "control");
+                self.previous = Some(std::mem::replace(&mut self.program, program));
+                self.control = log_field(&self.wait_for_log("starting"), "control");
             }
-            _ if who == "serves" => drop(self.logged("serving")),
+            _ if who == "serves" => drop(self.wait_for_log("serving")),
             _ if who == "exits" => {
-                let status = self.former().wait().expect("the process can be waited for");
-                self.record += &format!("  {status}\n");
+                let status = self.signal_target().wait().expect("the process can be waited for");
+                self.transcript += &format!("  {status}\n");
             }
             _ => panic!("not a step: {who} {rest}"),
         }
     }
 
     fn signal(&mut self, signal: &str) {
-        let kill = Command::new("kill").arg(signal).arg(self.former().id().to_string()).status();
+        let kill = Command::new("kill").arg(signal).arg(self.signal_target().id().to_string()).status();
         assert!(kill.is_ok_and(|s| s.success()));
     }
 
-    fn fill_in(&self, text: &str) -> String {
+    fn substitute_addresses(&self, text: &str) -> String {
         let addresses = self.listeners.iter().filter_map(|(n, l)| Some((n, l.local_addr().ok()?)));
         addresses.fold(text.to_owned(), |t, (n, a)| t.replace(&format!("{{{n}}}"), &a.to_string()))
     }
 
     /// Replaces what differs between runs (addresses and the remaining wait of a statement) and long padding.
-    fn make_plain(&self, heard: &str) -> String {
+    fn normalize(&self, received: &str) -> String {
         let addresses = self.listeners.iter().filter_map(|(n, l)| Some((n, l.local_addr().ok()?)));
         let text =
-            addresses.fold(heard.to_owned(), |t, (n, a)| t.replace(&a.to_string(), &format!("{{{n}}}")));
+            addresses.fold(received.to_owned(), |t, (n, a)| t.replace(&a.to_string(), &format!("{{{n}}}")));
         let padding = text.split(|c| c != ' ').map(str::len).max().unwrap_or(0);
         let text = if padding < 100 {
             text
@@ -300,7 +303,7 @@
 }
 
 /// Sets a read timeout, so that a test that waits for bytes which never come fails instead of hanging.
-fn patient(peer: TcpStream) -> TcpStream {
+fn with_read_timeout(peer: TcpStream) -> TcpStream {
     peer.set_read_timeout(Some(std::time::Duration::from_secs(120))).expect("the socket option can be set");
     peer
 }
@@ -323,14 +326,14 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let (tell, log) = channel();
+    let (sender, log) = channel();
     let lines = BufReader::new(program.stderr.take().expect("stderr is piped")).lines();
-    std::thread::spawn(move || lines.for_each(|l| drop(tell.send(l.unwrap_or_default()))));
+    std::thread::spawn(move || lines.for_each(|l| drop(sender.send(l.unwrap_or_default()))));
     (program, log)
 }
 
 /// The value of a field in a log line.
-fn named(line: &str, what: &str) -> String {
+fn log_field(line: &str, what: &str) -> String {
     let text = line.split_once(&format!("{what}: ")).expect("the line has the field").1;
     text.split(',').next().unwrap_or_default().to_owned()
 }
@@ -382,7 +385,7 @@
 
 /// Whether more bytes are unread: the program sends the empty query before a request in one piece with the
 /// request.
-fn has_more(peer: &TcpStream) -> bool {
+fn has_unread_bytes(peer: &TcpStream) -> bool {
     peer.set_nonblocking(true).expect("the socket option can be set");
     let seen = peer.peek(&mut [0]);
     peer.set_nonblocking(false).expect("the socket option can be set");
@@ -396,13 +399,13 @@
 /// Reads up to what a file names and returns it in the files' notation. The program sends an empty query
 /// before each further request on a connection, so that leftovers of the answer before cannot pass for the
 /// next one's. It is answered here as a db host answers it; files and snapshots don't contain it.
-fn listen_until(peer: &TcpStream, what: &str) -> String {
+fn read_until(peer: &TcpStream, what: &str) -> String {
     let take = |n: usize| {
         let (mut peer, mut bytes) = (peer, vec![0; n]);
         peer.read_exact(&mut bytes).map(|()| bytes)
     };
     let show = |kind: &str, body: &[u8]| format!("  {kind}|{}\n", body.escape_ascii());
-    let be = |b: &[u8]| u32::from_be_bytes([b[0], b[1], b[2], b[3]]) as usize;
+    let decode_length = |b: &[u8]| u32::from_be_bytes([b[0], b[1], b[2], b[3]]) as usize;
     match what {
         "end" => {
             let mut rest = Vec::new();
@@ -424,39 +427,40 @@
             show("head", &head)
         }
         "startup" => {
-            let length = be(&take(4).expect("a startup packet"));
+            let length = decode_length(&take(4).expect("a startup packet"));
             show("startup", &take(length - 4).expect("the rest of the packet")[4..])
         }
         n if n.parse::<usize>().is_ok() => show("raw", &take(n.parse().expect("a number")).expect("bytes")),
         tag => {
-            let mut heard = String::new();
+            let mut received = String::new();
             loop {
                 let head = take(5).expect("a message");
-                let mut body = take(be(&head[1..]) - 4).expect("the message's body");
+                let mut body = take(decode_length(&head[1..]) - 4).expect("the message's body");
                 // The secret key of BackendKeyData is random; it is replaced by zeros here and above.
                 if head[0] == b'K' {
                     body[4..].fill(0);
                 }
-                if head[0] == b'Q' && body == [0] && has_more(peer) {
+                if head[0] == b'Q' && body == [0] && has_unread_bytes(peer) {
                     answer_empty_query(peer);
                     continue;
                 }
                 let kind = char::from(head[0]).to_string();
-                heard += &show(&kind, &body);
+                received += &show(&kind, &body);
                 if kind == tag {
-                    return heard;
+                    return received;
                 }
             }
         }
     }
 }
 
-fn folder() -> PathBuf {
+fn exchanges_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/exchanges")
 }
 
-fn play(name: &str, site: Site) {
-    let text = std::fs::read_to_string(folder().join(format!("{name}.txt"))).expect("the file can be read");
+fn play(name: &str, deployment: Deployment) {
+    let text = std::fs::read_to_string(exchanges_folder().join(format!("{name}.txt")))
+        .expect("the file can be read");
     let mut lines = text.lines().filter(|l| !l.is_empty() && !l.starts_with('#'));
     let hosts =
         lines.next().and_then(|l| l.strip_prefix("hosts:")).expect("the first line lists the db hosts");
@@ -472,28 +476,28 @@
         set.push((path.to_owned(), serde_json::from_str(value).expect("JSON")));
     }
     let (memory, sockets) = (memory.unwrap_or(192), sockets.unwrap_or(1024));
-    let mut stage = Stage::open(site, hosts, memory, sockets, held.is_some(), &set);
-    lines.for_each(|line| stage.play(&site.translate(line)));
-    let name = if site == Site::Shared { format!("shared_{name}") } else { name.to_owned() };
-    insta::assert_snapshot!(name, stage.record);
+    let mut player = Player::open(deployment, hosts, memory, sockets, held.is_some(), &set);
+    lines.for_each(|line| player.play(&deployment.translate(line)));
+    let name = if deployment == Deployment::Shared { format!("shared_{name}") } else { name.to_owned() };
+    insta::assert_snapshot!(name, player.transcript);
 }
 
 macro_rules! exchanges {
     ($($name:ident)* ; shared: $($shared:ident)* ; only_shared: $($only:ident)*) => {
-        $(#[test] fn $name() { play(stringify!($name), Site::Keyed); })*
+        $(#[test] fn $name() { play(stringify!($name), Deployment::Keyed); })*
 
-        /// Plays files with the settings of [`Site::Shared`], except those that depend on keyed writes:
+        /// Plays files with the settings of [`Deployment::Shared`], except those that depend on keyed writes:
         /// `unusable`, `own_error`, `probe` and `late_repeat`.
         mod shared {
             use super::*;
-            $(#[test] fn $shared() { play(stringify!($shared), Site::Shared); })*
-            $(#[test] fn $only() { play(stringify!($only), Site::Shared); })*
+            $(#[test] fn $shared() { play(stringify!($shared), Deployment::Shared); })*
+            $(#[test] fn $only() { play(stringify!($only), Deployment::Shared); })*
         }
 
         /// Guards against a file that no test plays.
         #[test]
         fn every_file_is_played() {
-            let files = std::fs::read_dir(folder()).expect("the folder can be read").filter_map(|f| f.ok()?.file_name().into_string().ok());
+            let files = std::fs::read_dir(exchanges_folder()).expect("the folder can be read").filter_map(|f| f.ok()?.file_name().into_string().ok());
             let mut files: Vec<_> = files.filter_map(|f| Some(f.strip_suffix(".txt")?.to_owned())).collect();
             let mut played = vec![$(stringify!($name).to_owned(),)* $(stringify!($only).to_owned()),*];
             (files.sort(), played.sort());
--- a/crates/gradeshunt/tests/placement.rs
+++ b/crates/gradeshunt/tests/placement.rs
@@ -17,13 +17,13 @@
 use serde_json::json;
 
 /// Time limit of each wait; only a failing test reaches it.
-const PATIENCE: Duration = Duration::from_secs(40);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 /// The name of the proxy under test in the stand-in site.
-const OWN: &str = "n0";
+const OWN_NAME: &str = "n0";
 
 /// A listening socket and its address. No other process listens at the address, also after the socket is
 /// dropped.
-fn listener() -> (TcpListener, SocketAddr) {
+fn bind_listener() -> (TcpListener, SocketAddr) {
     let address = own_address();
     (TcpListener::bind(address).expect("the address is free"), address)
 }
@@ -43,9 +43,9 @@
 impl Group {
     fn new(settings: &str) -> Group {
         let own = own_address();
-        let mut others: Vec<_> = ["h1", "h2"].into_iter().map(|name| (name, listener())).collect();
+        let mut others: Vec<_> = ["h1", "h2"].into_iter().map(|name| (name, bind_listener())).collect();
         let mut text = format!("placement {{ group_size {{ least: 2 most: 9 }} {settings}\n");
-        text += &format!("proxy {{ name: {OWN:?} zone: \"here\" address: \"{own}\" }}\n");
+        text += &format!("proxy {{ name: {OWN_NAME:?} zone: \"here\" address: \"{own}\" }}\n");
         for (name, (_, address)) in &others {
             text += &format!("proxy {{ name: {name:?} zone: \"here\" address: \"{address}\" }}\n");
         }
@@ -57,7 +57,7 @@
             fleet.homes(group).of(set, Bucket::new(0)).iter().map(name).collect()
         };
         let set = (1..)
-            .find(|set| !homes(*set).contains(&OWN.to_owned()))
+            .find(|set| !homes(*set).contains(&OWN_NAME.to_owned()))
             .expect("a third of all sets have other homes");
         let place = |name: &str| homes(set).iter().position(|home| home == name);
         others.sort_by_key(|(name, _)| place(name));
@@ -88,8 +88,8 @@
 
 impl Program {
     fn start(name: &str, group: &Group) -> Program {
-        let (host, host_address) = listener();
-        let (discovery, discovery_address) = listener();
+        let (host, host_address) = bind_listener();
+        let (discovery, discovery_address) = bind_listener();
         let (addr, control) = (own_address(), own_address());
         let site = Site::open(Plan { sets: vec![1], ..Plan::default() }).expect("the stand-in site starts");
         let mut config = site.config();
@@ -119,7 +119,7 @@
 
     fn client(&self) -> Client {
         loop {
-            if let Ok(client) = Client::connect(self.addr, &[("user", "portal")], PATIENCE) {
+            if let Ok(client) = Client::connect(self.addr, &[("user", "portal")], WAIT_TIMEOUT) {
                 return client;
             }
             let ended = self.child.borrow_mut().try_wait().expect("the process can be polled");
@@ -129,14 +129,14 @@
     }
 
     /// Replaces the placement file and makes the process reload it.
-    fn reread(&self, text: &str) {
+    fn reload_placement(&self, text: &str) {
         std::fs::write(self.folder.join("placement.textproto"), text).expect("the file can be written");
         let kill = Command::new("kill").arg("-HUP").arg(self.child.borrow().id().to_string()).status();
         assert!(kill.is_ok_and(|status| status.success()));
     }
 
     /// Waits for a log line that contains `what`.
-    fn until_logged(&self, what: &str) {
+    fn wait_for_log(&self, what: &str) {
         while !std::fs::read_to_string(self.folder.join("log")).expect("the log can be read").contains(what) {
             let ended = self.child.borrow_mut().try_wait().expect("the process can be polled");
             assert!(ended.is_none(), "the process ended: {ended:?}");
@@ -144,9 +144,9 @@
         }
     }
 
-    fn call(&self, path: &str) -> String {
+    fn get_control(&self, path: &str) -> String {
         let mut stream = TcpStream::connect(self.control).expect("the program listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the timeout can be set");
         write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").expect("the connection is open");
         let mut text = String::new();
         stream.read_to_string(&mut text).expect("an answer");
@@ -156,21 +156,23 @@
 
 /// Accepts a connection of the proxy and answers its startup message. Returns the connection and the startup
 /// parameters.
-fn accept(listener: &TcpListener) -> (TcpStream, String) {
+fn accept_proxy(listener: &TcpListener) -> (TcpStream, String) {
     let (mut stream, _) = listener.accept().expect("the proxy connects");
-    stream.set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the timeout can be set");
     let (_, parameters) = wire::read_startup(&mut stream).expect("a startup message");
-    stream.write_all(&[wire::message(b'R', &[0; 4]), ready()].concat()).expect("the connection is open");
+    stream
+        .write_all(&[wire::message(b'R', &[0; 4]), ready_for_query()].concat())
+        .expect("the connection is open");
     (stream, String::from_utf8_lossy(&parameters).into_owned())
 }
 
-fn ready() -> Vec<u8> {
+fn ready_for_query() -> Vec<u8> {
     wire::message(b'Z', b"I")
 }
 
-fn row(value: &str) -> Vec<u8> {
+fn result_row(value: &str) -> Vec<u8> {
     let table = Table { tag: "SELECT 1".to_owned(), ..Table::of(&["data"], &[&[value]]) };
-    [wire::table(&table), ready()].concat()
+    [wire::table(&table), ready_for_query()].concat()
 }
 
 /// Reads the next client's statement, and answers the proxy's own queries before it.
@@ -182,26 +184,28 @@
             return text;
         }
         let nothing = Table::of(&["x0", "x1"], &[&["0", "0"]]);
-        stream.write_all(&[wire::table(&nothing), ready()].concat()).expect("the connection is open");
+        stream
+            .write_all(&[wire::table(&nothing), ready_for_query()].concat())
+            .expect("the connection is open");
     }
 }
 
 /// The remaining wait that a statement carries, in milliseconds.
-fn wait_of(statement: &str) -> u64 {
+fn remaining_wait(statement: &str) -> u64 {
     let wait = statement.split_once(",d=").and_then(|(_, rest)| rest.split(',').next());
     wait.and_then(|wait| wait.parse().ok()).expect("a wait in milliseconds")
 }
 
-fn read_of(id: u32, set: u64) -> String {
+fn read_statement(id: u32, set: u64) -> String {
     format!("/* id={id},c=page-read,d=300000,cluster={set} */ SELECT data FROM facts WHERE code = '{id:x}'")
 }
 
 /// A write that must never run twice.
-fn unsafe_write_of(id: u32, set: u64) -> String {
+fn unsafe_write_statement(id: u32, set: u64) -> String {
     format!("/* id={id},c=plain-write,d=300000,cluster={set} */ INSERT INTO facts (code) VALUES ('{id:x}')")
 }
 
-fn answer(client: &mut Client) -> Reply {
+fn read_reply(client: &mut Client) -> Reply {
     client.until_ready().expect("an answer and no close")
 }
 
@@ -213,37 +217,37 @@
     let group = Group::new("");
     let program = Program::start("first-home", &group);
     let mut client = program.client();
-    client.ask(&read_of(1, group.set)).expect("the connection is open");
-    let (mut home, parameters) = accept(&group.homes[0]);
+    client.ask(&read_statement(1, group.set)).expect("the connection is open");
+    let (mut home, parameters) = accept_proxy(&group.homes[0]);
     assert!(parameters.contains("user\0gradeshunt\0") && parameters.contains("application_name\0n0\0"));
     for id in 1..=3 {
         let statement = next_statement(&mut home);
-        let wait = wait_of(&statement);
+        let wait = remaining_wait(&statement);
         assert!(wait < 300_000, "the home has less time than the client");
-        assert_eq!(statement.replace(&format!(",d={wait},"), ",d=300000,"), read_of(id, group.set));
-        home.write_all(&row(&format!("v{id}"))).expect("the connection is open");
-        assert_eq!(answer(&mut client).value(), Some(format!("v{id}")));
+        assert_eq!(statement.replace(&format!(",d={wait},"), ",d=300000,"), read_statement(id, group.set));
+        home.write_all(&result_row(&format!("v{id}"))).expect("the connection is open");
+        assert_eq!(read_reply(&mut client).value(), Some(format!("v{id}")));
         if id < 3 {
-            client.ask(&read_of(id + 1, group.set)).expect("the connection is open");
+            client.ask(&read_statement(id + 1, group.set)).expect("the connection is open");
         }
     }
-    let shown = program.call("/placement");
+    let shown = program.get_control("/placement");
     assert!(shown.contains("requests home=0 sent_on=3 taken=0 direct=0 refused=0"), "{shown}");
-    assert!(program.call("/status/metrics").contains("app_dispatches 0\n"));
+    assert!(program.get_control("/status/metrics").contains("app_dispatches 0\n"));
 }
 
 /// Guards against dropping the retry advice (the error's detail) of a refusal by a home.
 #[test]
-fn refusal_of_a_home_keeps_its_advice() {
+fn refusal_of_a_home_keeps_its_retry_advice() {
     let group = Group::new("");
     let program = Program::start("refusal", &group);
     let mut client = program.client();
-    client.ask(&read_of(1, group.set)).expect("the connection is open");
-    let (mut home, _) = accept(&group.homes[0]);
+    client.ask(&read_statement(1, group.set)).expect("the connection is open");
+    let (mut home, _) = accept_proxy(&group.homes[0]);
     next_statement(&mut home);
     let refusal = wire::message(b'E', b"SERROR\0C53300\0Mno db host can take this now\0D170\0\0");
-    home.write_all(&[refusal, ready()].concat()).expect("the connection is open");
-    let reply = answer(&mut client);
+    home.write_all(&[refusal, ready_for_query()].concat()).expect("the connection is open");
+    let reply = read_reply(&mut client);
     let detail = reply.error.as_ref().and_then(|error| error.2.as_deref());
     assert_eq!((reply.code(), detail), (Some("53300"), Some("170")));
 }
@@ -261,26 +265,26 @@
         match fault {
             "refuses" => {
                 drop(first);
-                client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
+                client.ask(&unsafe_write_statement(1, group.set)).expect("the connection is open");
             }
             "turns away" => {
-                client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
+                client.ask(&unsafe_write_statement(1, group.set)).expect("the connection is open");
                 let (mut stream, _) = first.accept().expect("the proxy connects");
                 wire::read_startup(&mut stream).expect("a startup message");
                 stream.write_all(&wire::error("57P03", "leaving")).expect("the connection is open");
             }
             _ => {
-                client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
-                let (mut stream, _) = accept(&first);
+                client.ask(&unsafe_write_statement(1, group.set)).expect("the connection is open");
+                let (mut stream, _) = accept_proxy(&first);
                 next_statement(&mut stream);
                 stream.write_all(&wire::error("PX001", "leaving")).expect("the connection is open");
                 stream.shutdown(Shutdown::Write).expect("the connection is open");
             }
         }
-        let (mut second, _) = accept(&group.homes[0]);
+        let (mut second, _) = accept_proxy(&group.homes[0]);
         assert!(next_statement(&mut second).contains("id=1,"), "{fault}");
-        second.write_all(&row("done")).expect("the connection is open");
-        assert_eq!(answer(&mut client).value().as_deref(), Some("done"), "{fault}");
+        second.write_all(&result_row("done")).expect("the connection is open");
+        assert_eq!(read_reply(&mut client).value().as_deref(), Some("done"), "{fault}");
     }
 }
 
@@ -291,23 +295,23 @@
     let group = Group::new("");
     let program = Program::start("may-have-run", &group);
     let mut client = program.client();
-    client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
-    let (mut home, _) = accept(&group.homes[0]);
+    client.ask(&unsafe_write_statement(1, group.set)).expect("the connection is open");
+    let (mut home, _) = accept_proxy(&group.homes[0]);
     next_statement(&mut home);
     drop(home);
-    assert_eq!(answer(&mut client).code(), Some("58000"));
+    assert_eq!(read_reply(&mut client).code(), Some("58000"));
 
     let group = Group::new("");
     let program = Program::start("read-may-have-run", &group);
     let mut client = program.client();
-    client.ask(&read_of(2, group.set)).expect("the connection is open");
-    let (mut home, _) = accept(&group.homes[0]);
+    client.ask(&read_statement(2, group.set)).expect("the connection is open");
+    let (mut home, _) = accept_proxy(&group.homes[0]);
     next_statement(&mut home);
     drop(home);
-    let (mut second, _) = accept(&group.homes[1]);
+    let (mut second, _) = accept_proxy(&group.homes[1]);
     assert!(next_statement(&mut second).contains("id=2,"));
-    second.write_all(&row("v")).expect("the connection is open");
-    assert_eq!(answer(&mut client).value().as_deref(), Some("v"));
+    second.write_all(&result_row("v")).expect("the connection is open");
+    assert_eq!(read_reply(&mut client).value().as_deref(), Some("v"));
 }
 
 /// Without a reachable home the proxy sends the request to the db host itself, or refuses it if the placement
@@ -318,54 +322,54 @@
     group.homes.clear();
     let program = Program::start("direct", &group);
     let mut client = program.client();
-    client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
-    let (mut host, parameters) = accept(&program.host);
+    client.ask(&unsafe_write_statement(1, group.set)).expect("the connection is open");
+    let (mut host, parameters) = accept_proxy(&program.host);
     assert!(parameters.contains("user\0portal\0"));
     assert!(next_statement(&mut host).contains("id=1,"));
-    host.write_all(&row("done")).expect("the connection is open");
-    assert_eq!(answer(&mut client).value().as_deref(), Some("done"));
-    assert!(program.call("/placement").contains("sets_direct 1\n"));
+    host.write_all(&result_row("done")).expect("the connection is open");
+    assert_eq!(read_reply(&mut client).value().as_deref(), Some("done"));
+    assert!(program.get_control("/placement").contains("sets_direct 1\n"));
 
     let mut group = Group::new("direct_sets: 0");
     group.homes.clear();
     let program = Program::start("not-direct", &group);
     let mut client = program.client();
-    client.ask(&unsafe_write_of(1, group.set)).expect("the connection is open");
-    assert_eq!(answer(&mut client).code(), Some("53300"));
+    client.ask(&unsafe_write_statement(1, group.set)).expect("the connection is open");
+    assert_eq!(read_reply(&mut client).code(), Some("53300"));
 }
 
 /// Guards against forwarding a request twice: a proxy serves what another proxy sends it, although it is no
 /// home by its own placement file.
 #[test]
-fn request_of_another_proxy_is_never_sent_on() {
+fn request_from_another_proxy_is_never_forwarded() {
     let group = Group::new("");
     let program = Program::start("never-twice", &group);
     drop(program.client());
-    let introduce = [("user", "gradeshunt"), ("application_name", "h1")];
-    let mut proxy = Client::connect(group.own, &introduce, PATIENCE).expect("the session starts");
-    proxy.ask(&read_of(1, group.set)).expect("the connection is open");
-    let (mut host, _) = accept(&program.host);
+    let proxy_parameters = [("user", "gradeshunt"), ("application_name", "h1")];
+    let mut proxy = Client::connect(group.own, &proxy_parameters, WAIT_TIMEOUT).expect("the session starts");
+    proxy.ask(&read_statement(1, group.set)).expect("the connection is open");
+    let (mut host, _) = accept_proxy(&program.host);
     assert!(next_statement(&mut host).contains("id=1,"));
-    host.write_all(&row("v")).expect("the connection is open");
-    assert_eq!(answer(&mut proxy).value().as_deref(), Some("v"));
-    assert!(program.call("/placement").contains("sent_on=0 taken=1"));
+    host.write_all(&result_row("v")).expect("the connection is open");
+    assert_eq!(read_reply(&mut proxy).value().as_deref(), Some("v"));
+    assert!(program.get_control("/placement").contains("sent_on=0 taken=1"));
 }
 
 /// A connection to the address for proxies that does not come from a proxy of the group gets an error;
 /// clients are served as before.
 #[test]
-fn stranger_at_the_address_for_proxies_gets_an_error() {
+fn unknown_peer_at_the_address_for_proxies_gets_an_error() {
     let group = Group::new("");
     let program = Program::start("stranger", &group);
     let mut client = program.client();
-    let strangers =
+    let unknown_peers =
         [vec![("user", "portal")], vec![("user", "gradeshunt"), ("application_name", "h9")], vec![]];
-    for stranger in strangers {
+    for peer in unknown_peers {
         let mut stream = TcpStream::connect(group.own).expect("the program listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("the timeout can be set");
-        stream.write_all(&wire::startup(&stranger)).expect("the connection is open");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the timeout can be set");
+        stream.write_all(&wire::startup(&peer)).expect("the connection is open");
         let (tag, body) = wire::read(&mut stream).expect("an error");
-        assert_eq!((tag, wire::field(&body, b'C').as_deref()), (b'E', Some("28000")), "{stranger:?}");
+        assert_eq!((tag, wire::field(&body, b'C').as_deref()), (b'E', Some("28000")), "{peer:?}");
         assert_eq!(stream.read(&mut [0]).expect("a close and no reset"), 0);
     }
     assert!(client.query("").expect("the query is answered").error.is_none());
@@ -374,12 +378,12 @@
 /// Guards against running a request whose client has left: the proxy resets the connection to the home, which
 /// discards bytes that the kernel has not delivered yet. A plain close would deliver them.
 #[test]
-fn client_that_leaves_ends_the_attempt_at_the_home() {
+fn client_that_leaves_resets_the_connection_to_the_home() {
     let group = Group::new("");
     let program = Program::start("leaves", &group);
     let mut client = program.client();
-    client.ask(&read_of(1, group.set)).expect("the connection is open");
-    let (mut home, _) = accept(&group.homes[0]);
+    client.ask(&read_statement(1, group.set)).expect("the connection is open");
+    let (mut home, _) = accept_proxy(&group.homes[0]);
     next_statement(&mut home);
     drop(client);
     let end = home.read(&mut [0]).expect_err("a reset");
@@ -389,26 +393,26 @@
 /// A draining home answers the requests that it has read. Before it closes a connection of another proxy it
 /// announces its end, so that the other proxy knows that a request sent at the same moment has not run.
 #[test]
-fn draining_home_answers_what_it_has_and_tells_that_it_leaves() {
+fn draining_home_answers_its_requests_and_announces_its_end() {
     let group = Group::new("");
     let program = Program::start("drains", &group);
     drop(program.client());
-    let introduce = [("user", "gradeshunt"), ("application_name", "h1")];
-    let connect = || Client::connect(group.own, &introduce, PATIENCE).expect("the session starts");
+    let proxy_parameters = [("user", "gradeshunt"), ("application_name", "h1")];
+    let connect = || Client::connect(group.own, &proxy_parameters, WAIT_TIMEOUT).expect("the session starts");
     let (mut busy, mut idle) = (connect(), connect());
-    busy.ask(&read_of(1, group.set)).expect("the connection is open");
-    let (mut host, _) = accept(&program.host);
+    busy.ask(&read_statement(1, group.set)).expect("the connection is open");
+    let (mut host, _) = accept_proxy(&program.host);
     next_statement(&mut host);
     let kill = Command::new("kill").arg("-TERM").arg(program.child.borrow().id().to_string()).status();
     assert!(kill.is_ok_and(|status| status.success()));
-    last_message(&mut idle);
-    host.write_all(&row("v")).expect("the connection is open");
-    assert_eq!(answer(&mut busy).value().as_deref(), Some("v"));
-    last_message(&mut busy);
+    expect_end_announcement(&mut idle);
+    host.write_all(&result_row("v")).expect("the connection is open");
+    assert_eq!(read_reply(&mut busy).value().as_deref(), Some("v"));
+    expect_end_announcement(&mut busy);
 }
 
 /// Reads the message that announces a home's end to another proxy, and the end of the connection after it.
-fn last_message(proxy: &mut Client) {
+fn expect_end_announcement(proxy: &mut Client) {
     let (tag, body) = wire::read(proxy.stream()).expect("the message that announces the end");
     assert_eq!((tag, wire::field(&body, b'C').as_deref()), (b'E', Some("PX001")));
     assert_eq!(proxy.stream().read(&mut [0]).expect("a close and no reset"), 0);
@@ -417,7 +421,7 @@
 /// Guards against operators' mistakes: a placement file or an address that cannot be used refuses the start
 /// with an error that names it.
 #[test]
-fn file_that_cannot_be_used_refuses_the_start() {
+fn unusable_placement_file_refuses_the_start() {
     let refused = |name: &str, edit: &dyn Fn(&Group) -> String| {
         let mut group = Group::new("");
         group.text = edit(&group);
@@ -426,37 +430,46 @@
         assert!(!status.success(), "{name}");
         std::fs::read_to_string(program.folder.join("log")).expect("the log can be read")
     };
-    let unlisted = refused("unlisted", &|group| group.text.replace("\"n0\"", "\"n9\""));
+    let own_name_missing = refused("unlisted", &|group| group.text.replace("\"n0\"", "\"n9\""));
     assert!(
-        unlisted.contains("placement.textproto:")
-            && unlisted.contains("proxy")
-            && unlisted.contains("\"n0\"")
+        own_name_missing.contains("placement.textproto:")
+            && own_name_missing.contains("proxy")
+            && own_name_missing.contains("\"n0\"")
     );
-    let twice = refused("twice", &|group| group.text.replace("\"h2\"", "\"h1\""));
-    assert!(twice.contains("placement.textproto:4") && twice.contains("\"h1\" is given twice"), "{twice}");
-    let nowhere = refused("nowhere", &|group| group.text.replace(&format!("address: \"{}\"", group.own), ""));
-    assert!(nowhere.contains("has no address for other proxies"), "{nowhere}");
+    let name_given_twice = refused("twice", &|group| group.text.replace("\"h2\"", "\"h1\""));
+    assert!(
+        name_given_twice.contains("placement.textproto:4")
+            && name_given_twice.contains("\"h1\" is given twice"),
+        "{name_given_twice}"
+    );
+    let without_address =
+        refused("nowhere", &|group| group.text.replace(&format!("address: \"{}\"", group.own), ""));
+    assert!(without_address.contains("has no address for other proxies"), "{without_address}");
     // An address that this machine does not have.
-    let foreign = refused("foreign", &|group| group.text.replace(&group.own.to_string(), "192.0.2.1:6432"));
-    assert!(foreign.contains("cannot listen for other proxies at 192.0.2.1:6432"), "{foreign}");
+    let foreign_address =
+        refused("foreign", &|group| group.text.replace(&group.own.to_string(), "192.0.2.1:6432"));
+    assert!(
+        foreign_address.contains("cannot listen for other proxies at 192.0.2.1:6432"),
+        "{foreign_address}"
+    );
 }
 
 /// SIGHUP reloads the placement file: an unusable one changes nothing, and a usable one takes effect at once.
 #[test]
-fn roster_is_read_anew() {
+fn placement_file_is_reloaded_on_sighup() {
     let group = Group::new("");
     let program = Program::start("read-anew", &group);
     drop(program.client());
-    let before = program.call("/placement");
-    program.reread("placement { proxy {");
-    program.until_logged("the new one can't be used");
-    assert_eq!(program.call("/placement"), before);
+    let before = program.get_control("/placement");
+    program.reload_placement("placement { proxy {");
+    program.wait_for_log("the new one can't be used");
+    assert_eq!(program.get_control("/placement"), before);
     let more = group.text.replacen("proxy {", "proxy { name: \"h3\" zone: \"here\" } proxy {", 1);
-    program.reread(&more);
-    while !program.call("/placement").contains("proxy h3 no address\n") {}
+    program.reload_placement(&more);
+    while !program.get_control("/placement").contains("proxy h3 no address\n") {}
     // A proxy that only the new file lists may connect.
-    let introduce = [("user", "gradeshunt"), ("application_name", "h3")];
-    let mut proxy =
-        Client::connect(group.own, &introduce, PATIENCE).expect("the session of the new proxy starts");
+    let proxy_parameters = [("user", "gradeshunt"), ("application_name", "h3")];
+    let mut proxy = Client::connect(group.own, &proxy_parameters, WAIT_TIMEOUT)
+        .expect("the session of the new proxy starts");
     assert!(proxy.query("").expect("the query is answered").error.is_none());
 }
--- a/crates/gradeshunt/tests/placement_command.rs
+++ b/crates/gradeshunt/tests/placement_command.rs
@@ -35,12 +35,13 @@
     // The 128 connections to each db host of set 1 are shared among the set's 20 parts in each of the two
     // groups.
     let connections = |line: &str| line.rsplit(' ').next()?.parse::<u32>().ok();
-    let of_heavy: u32 = text.lines().filter(|l| l.starts_with("  set 1 ")).filter_map(connections).sum();
-    assert_eq!(of_heavy, 128, "{text}");
+    let connections_of_set_1: u32 =
+        text.lines().filter(|l| l.starts_with("  set 1 ")).filter_map(connections).sum();
+    assert_eq!(connections_of_set_1, 128, "{text}");
 }
 
 #[test]
-fn tells_a_fault_in_one_line() {
+fn prints_an_error_in_one_line() {
     let text = std::fs::read_to_string(example()).expect("the example");
     let file = std::env::temp_dir().join(format!("placement-{}.textproto", std::process::id()));
     std::fs::write(&file, text.replace("name: \"south-4\"", "name: \"south-3\""))
@@ -48,7 +49,7 @@
     let output = placement(&file);
     let _ = std::fs::remove_file(&file);
     assert!(!output.status.success() && output.stdout.is_empty());
-    let told = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     let expected = format!("{}:18: placement.proxy[6].name: \"south-3\" is given twice", file.display());
-    assert!(told.contains(&expected) && told.trim_end().lines().count() == 1, "{told}");
+    assert!(stderr.contains(&expected) && stderr.trim_end().lines().count() == 1, "{stderr}");
 }
--- a/crates/gradeshunt/tests/placement_fleet.rs
+++ b/crates/gradeshunt/tests/placement_fleet.rs
@@ -28,8 +28,8 @@
     let report = play(&options).expect("the run completes");
     assert!(report.faults.is_empty(), "{:#?}\n{report}", report.marks);
     assert!(!report.hops.is_empty(), "no request was forwarded to another proxy: {report}");
-    let seen = report.account;
-    assert!(seen.home > 0 && seen.sent_on > 0 && seen.taken > 0, "{seen:?}");
+    let counts = report.account;
+    assert!(counts.home > 0 && counts.sent_on > 0 && counts.taken > 0, "{counts:?}");
     assert!(report.unavailable > 0, "no proxy noticed the loss of a home: {:#?}", report.marks);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/gradeshunt/tests/stepped_clocks.rs
+++ b/crates/gradeshunt/tests/stepped_clocks.rs
@@ -16,16 +16,16 @@
 use serde_json::json;
 
 /// Time limit of each wait; only a failing test reaches it.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Number of reads that are counted together, and how many of them may go to the primary.
-const READS: usize = 100;
-const MOST_AT_PRIMARY: u64 = 20;
+const READS_PER_ROUND: usize = 100;
+const MAX_READS_AT_PRIMARY: u64 = 20;
 /// How far the frozen standby is behind, and how far the clocks are stepped: by the same time, so that a step
 /// back makes the frozen position look current for a moment.
-const BEHIND: Duration = Duration::from_secs(10);
+const LAG: Duration = Duration::from_secs(10);
 const NANOSECONDS: i64 = 1_000_000;
 /// The target time of all classes, short so that reads are held for 12 ms at most.
-const AIM_MS: f64 = 100.0;
+const TARGET_TIME_MS: f64 = 100.0;
 
 fn scratch(name: &str) -> PathBuf {
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("stepped-{name}-{}", std::process::id()))
@@ -33,35 +33,35 @@
 
 /// Which wall clocks are stepped.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Stepped {
+enum SteppedClocks {
     All,
     ProcessAlone,
 }
 
-struct Play {
+struct Fixture {
     site: Site,
     program: Standalone,
     control: FaultControl,
     client: Client,
-    asked: usize,
+    reads_sent: usize,
 }
 
-impl Play {
-    fn open(name: &str) -> Play {
-        Play::open_off_by(name, 0)
+impl Fixture {
+    fn open(name: &str) -> Fixture {
+        Fixture::open_with_clock_offset(name, 0)
     }
 
     /// Starts a process whose own wall clock is off by `ms`.
-    fn open_off_by(name: &str, ms: i64) -> Play {
+    fn open_with_clock_offset(name: &str, ms: i64) -> Fixture {
         let site = Site::open(&Arc::new(Ledger::default()), 1).expect("the site starts");
-        site.hosts[2].freeze_behind(BEHIND);
+        site.hosts[2].freeze_behind(LAG);
         let shim = Shim::build(&scratch(&format!("{name}-shim"))).expect("a C compiler builds the shim");
         let control = FaultControl::create(&shim, &scratch(&format!("{name}-control")))
             .expect("the control file can be made");
         control.set(Knob::WallOffset, ms * NANOSECONDS).expect("the clock offset can be set");
         let mut config = site.config(0, 1, own_address(), 0);
         for class in config["settings"]["categories"].as_array_mut().expect("classes") {
-            class["slo"] = json!(AIM_MS);
+            class["slo"] = json!(TARGET_TIME_MS);
         }
         let start = Start {
             program: Path::new(env!("CARGO_BIN_EXE_gradeshunt")),
@@ -71,26 +71,26 @@
             environment: control.environment(),
         };
         let program = Standalone::start(start, |_| {}).expect("the program can be started");
-        drop(program.connect(PATIENCE));
+        drop(program.connect(WAIT_TIMEOUT));
         let client =
-            Client::connect(program.addr, &[("user", "portal")], PATIENCE).expect("the session starts");
-        Play { site, program, control, client, asked: 0 }
+            Client::connect(program.addr, &[("user", "portal")], WAIT_TIMEOUT).expect("the session starts");
+        Fixture { site, program, control, client, reads_sent: 0 }
     }
 
-    fn step(&self, whose: Stepped, ms: i64) {
-        if whose == Stepped::All {
+    fn step(&self, stepped_clocks: SteppedClocks, ms: i64) {
+        if stepped_clocks == SteppedClocks::All {
             self.site.wall.step_to(ms);
         }
         self.control.set(Knob::WallOffset, ms * NANOSECONDS).expect("the clock offset can be set");
     }
 
-    /// Sends [`READS`] reads. Returns how many the primary served, and how many the frozen standby.
+    /// Sends [`READS_PER_ROUND`] reads. Returns how many the primary served, and how many the frozen standby.
     fn read(&mut self) -> (u64, u64) {
         let counts = |site: &Site| (site.hosts[0].reads(), site.hosts[2].reads());
         let before = counts(&self.site);
-        for _ in 0..READS {
-            self.asked += 1;
-            let id = self.asked;
+        for _ in 0..READS_PER_ROUND {
+            self.reads_sent += 1;
+            let id = self.reads_sent;
             let read = format!(
                 "/* id={id:x},c=page-read,d=1000,cluster=1 */ SELECT data FROM facts WHERE code = 'x'"
             );
@@ -103,16 +103,16 @@
 
     /// Reads on until nearly all reads go to the standby that follows the primary, and none to the frozen
     /// one.
-    fn until_at_the_current_standby(&mut self, when: &str) {
+    fn read_until_at_the_current_standby(&mut self, when: &str) {
         let began = Instant::now();
         loop {
             let (primary, frozen) = self.read();
-            if primary <= MOST_AT_PRIMARY && frozen == 0 {
+            if primary <= MAX_READS_AT_PRIMARY && frozen == 0 {
                 return;
             }
             assert!(
-                began.elapsed() < PATIENCE,
-                "{when}: {primary} of {READS} at the primary, {frozen} at the frozen standby: {}",
+                began.elapsed() < WAIT_TIMEOUT,
+                "{when}: {primary} of {READS_PER_ROUND} at the primary, {frozen} at the frozen standby: {}",
                 self.program.log()
             );
         }
@@ -122,54 +122,54 @@
 /// Guards against reads that stay at the primary, or go to the frozen standby, after a clock step: they
 /// return to the standby that follows the primary and stay there, although the frozen position may look
 /// current by the new clock.
-fn reads_stay_at_the_current_standby(name: &str, whose: Stepped, ms: i64) {
-    let mut play = Play::open(name);
-    play.until_at_the_current_standby("before the step");
-    play.step(whose, ms);
-    play.until_at_the_current_standby("after the step");
+fn reads_stay_at_the_current_standby(name: &str, stepped_clocks: SteppedClocks, ms: i64) {
+    let mut fixture = Fixture::open(name);
+    fixture.read_until_at_the_current_standby("before the step");
+    fixture.step(stepped_clocks, ms);
+    fixture.read_until_at_the_current_standby("after the step");
     // From then on the reads stay there.
-    let (primary, frozen) = play.read();
-    assert!(primary <= MOST_AT_PRIMARY && frozen == 0, "{primary} and {frozen} of {READS}");
+    let (primary, frozen) = fixture.read();
+    assert!(primary <= MAX_READS_AT_PRIMARY && frozen == 0, "{primary} and {frozen} of {READS_PER_ROUND}");
 }
 
 #[test]
-fn all_clocks_are_stepped_back_as_far_as_a_standby_is_behind() {
-    reads_stay_at_the_current_standby("all-back", Stepped::All, -(BEHIND.as_millis() as i64));
+fn all_clocks_are_stepped_back_by_the_lag_of_a_standby() {
+    reads_stay_at_the_current_standby("all-back", SteppedClocks::All, -(LAG.as_millis() as i64));
 }
 
 #[test]
 fn all_clocks_are_stepped_forward() {
-    reads_stay_at_the_current_standby("all-forward", Stepped::All, BEHIND.as_millis() as i64);
+    reads_stay_at_the_current_standby("all-forward", SteppedClocks::All, LAG.as_millis() as i64);
 }
 
 #[test]
 fn all_clocks_are_stepped_by_an_hour() {
-    reads_stay_at_the_current_standby("hour-back", Stepped::All, -3_600_000);
-    reads_stay_at_the_current_standby("hour-forward", Stepped::All, 3_600_000);
+    reads_stay_at_the_current_standby("hour-back", SteppedClocks::All, -3_600_000);
+    reads_stay_at_the_current_standby("hour-forward", SteppedClocks::All, 3_600_000);
 }
 
 #[test]
 fn clock_of_the_process_alone_is_stepped() {
-    reads_stay_at_the_current_standby("alone-back", Stepped::ProcessAlone, -(BEHIND.as_millis() as i64));
-    reads_stay_at_the_current_standby("alone-forward", Stepped::ProcessAlone, BEHIND.as_millis() as i64);
+    reads_stay_at_the_current_standby("alone-back", SteppedClocks::ProcessAlone, -(LAG.as_millis() as i64));
+    reads_stay_at_the_current_standby("alone-forward", SteppedClocks::ProcessAlone, LAG.as_millis() as i64);
 }
 
 /// Guards the reads of a process that starts while its own wall clock is wrong: all of them went to the
 /// primary.
-fn process_whose_clock_is_off_reads_at_the_current_standby(name: &str, ms: i64) {
-    let mut play = Play::open_off_by(name, ms);
-    play.until_at_the_current_standby("from the start");
-    assert_eq!(play.site.hosts[2].reads(), 0, "stale reads from the start on");
+fn process_with_a_wrong_clock_reads_at_the_current_standby(name: &str, ms: i64) {
+    let mut fixture = Fixture::open_with_clock_offset(name, ms);
+    fixture.read_until_at_the_current_standby("from the start");
+    assert_eq!(fixture.site.hosts[2].reads(), 0, "stale reads from the start on");
 }
 
 #[test]
 fn process_starts_with_its_clock_ahead() {
-    process_whose_clock_is_off_reads_at_the_current_standby("starts-ahead", BEHIND.as_millis() as i64);
-    process_whose_clock_is_off_reads_at_the_current_standby("starts-hour-ahead", 3_600_000);
+    process_with_a_wrong_clock_reads_at_the_current_standby("starts-ahead", LAG.as_millis() as i64);
+    process_with_a_wrong_clock_reads_at_the_current_standby("starts-hour-ahead", 3_600_000);
 }
 
 #[test]
 fn process_starts_with_its_clock_behind() {
-    process_whose_clock_is_off_reads_at_the_current_standby("starts-behind", -(BEHIND.as_millis() as i64));
-    process_whose_clock_is_off_reads_at_the_current_standby("starts-hour-behind", -3_600_000);
+    process_with_a_wrong_clock_reads_at_the_current_standby("starts-behind", -(LAG.as_millis() as i64));
+    process_with_a_wrong_clock_reads_at_the_current_standby("starts-hour-behind", -3_600_000);
 }
--- a/crates/gradeshunt/tests/try_it.rs
+++ b/crates/gradeshunt/tests/try_it.rs
@@ -15,47 +15,47 @@
 struct Ports(BTreeMap<String, (TcpListener, SocketAddr)>);
 
 impl Ports {
-    fn of(&mut self, address: &str) -> String {
-        let free = || {
+    fn free_address_for(&mut self, address: &str) -> String {
+        let bind_free_port = || {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
             let addr = listener.local_addr().expect("the listener has an address");
             (listener, addr)
         };
-        self.0.entry(address.to_owned()).or_insert_with(free).1.to_string()
+        self.0.entry(address.to_owned()).or_insert_with(bind_free_port).1.to_string()
     }
 }
 
 #[test]
-fn the_example_starts_beside_the_toy_site() {
+fn example_serves_with_the_toy_site() {
     let write = "/* id=1,c=tally-write,d=1000,k=1,cluster=1 */ INSERT INTO facts (code, data) VALUES ('ab', 'hello') RETURNING data";
     let read = "/* id=2,c=own-read,d=1000,cluster=1 */ SELECT data FROM facts WHERE code = 'ab'";
-    try_out("one", include_str!("../../../examples/config.json"), [write, read]);
+    run_example("one", include_str!("../../../examples/config.json"), [write, read]);
 }
 
 #[test]
-fn the_example_with_tenants_starts_beside_the_toy_site() {
+fn example_with_tenants_serves_with_the_toy_site() {
     let write = "/* id=1,c=entry-write,t=north,d=1000,cluster=1 */ INSERT INTO facts (code, data) VALUES ('ab', 'hello') RETURNING data";
     let read = "/* id=2,c=own-read,t=south,d=1000,cluster=1 */ SELECT data FROM facts WHERE code = 'ab'";
-    let figures = try_out("shared", include_str!("../../../examples/shared.json"), [write, read]);
+    let metrics_text = run_example("shared", include_str!("../../../examples/shared.json"), [write, read]);
     for tenant in ["north", "south"] {
         let line = format!("app_tenant_replies{{tenant=\"{tenant}\",share=\"within\",status=\"success\"}} 1");
-        assert!(figures.contains(&line), "{figures}");
+        assert!(metrics_text.contains(&line), "{metrics_text}");
     }
 }
 
 /// Starts the program with an example's configuration, sends the statements, and returns the program's
 /// metrics.
-fn try_out(name: &str, config: &str, statements: [&str; 2]) -> String {
+fn run_example(name: &str, config: &str, statements: [&str; 2]) -> String {
     let mut config: Value = serde_json::from_str(config).expect("JSON");
     let mut ports = Ports::default();
     for field in ["listen", "discovery", "control"] {
-        config[field] = ports.of(config[field].as_str().expect("an address")).into();
+        config[field] = ports.free_address_for(config[field].as_str().expect("an address")).into();
     }
     let Addresses { discovery, primary, replica } = Addresses::default();
     let addresses = Addresses {
-        discovery: ports.of(&discovery),
-        primary: ports.of(&primary),
-        replica: ports.of(&replica),
+        discovery: ports.free_address_for(&discovery),
+        primary: ports.free_address_for(&primary),
+        replica: ports.free_address_for(&replica),
     };
     // The listeners were kept open until here, so that all ports differ.
     drop(ports);
@@ -70,14 +70,14 @@
     assert_eq!(Some(process.control.to_string().as_str()), config["control"].as_str());
     process.ready().expect("the program serves");
     let listen = process.listen.expect("the program logs its listen address");
-    let patience = Duration::from_secs(60);
-    let mut client = Client::connect(listen, &[("user", "portal"), ("database", "crm")], patience)
+    let timeout = Duration::from_secs(60);
+    let mut client = Client::connect(listen, &[("user", "portal"), ("database", "crm")], timeout)
         .expect("the session starts");
     for statement in statements {
         let reply = client.query(statement).expect("an answer");
         assert_eq!(reply.value().as_deref(), Some("hello"), "{reply:?}");
     }
-    let figures = process.call("GET", "/status/metrics").expect("an answer").1;
+    let metrics_text = process.call("GET", "/status/metrics").expect("an answer").1;
     let _ = std::fs::remove_dir_all(folder);
-    figures
+    metrics_text
 }
--- a/crates/gradeshunt/tests/upgrade.rs
+++ b/crates/gradeshunt/tests/upgrade.rs
@@ -9,7 +9,7 @@
 use gradeshunt_stand_ins::upgrade::{begin, shared_folder, upgrade, Load, Standing};
 
 #[test]
-fn nothing_ends_at_the_door_while_the_disk_stands() {
+fn no_client_is_refused_during_upgrades_with_a_blocked_disk() {
     let site = Site::open(Plan::default()).expect("the stand-in site starts");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("upgrade-{}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_gradeshunt"));
@@ -20,16 +20,16 @@
 
     // The folder blocks while nothing else happens: the process goes on serving requests, far more of them
     // than come between two of its reads of the folder.
-    let standing = Standing::begin(&shared).expect("the named pipe can be made");
+    let blocked_folder = Standing::begin(&shared).expect("the named pipe can be made");
     load.another(2000);
-    drop(standing);
+    drop(blocked_folder);
     assert_eq!(load.checker.counts().at_the_door(), 0, "the event loop waits for the disk");
 
     // The folder blocks while a successor starts, and is released only after requests came during its start.
-    let standing = Standing::begin(&shared).expect("the named pipe can be made");
+    let blocked_folder = Standing::begin(&shared).expect("the named pipe can be made");
     let mut second = platform.start().expect("the program can be started");
     load.another(60);
-    drop(standing);
+    drop(blocked_folder);
     second.until("serving").expect("the successor serves");
     first.signal("TERM").expect("the signal can be sent");
     load.another(60);
@@ -42,10 +42,10 @@
     // An upgrade while the folder does not block.
     let (third, _) = upgrade(&platform, second).expect("the next process takes over");
     load.another(60);
-    let (status, figures) = third.call("GET", "/status/loop").expect("an answer");
+    let (status, metrics) = third.call("GET", "/status/loop").expect("an answer");
     let turns =
-        figures.lines().find_map(|l| l.strip_prefix("app_loop_turns ")).and_then(|n| n.parse::<u64>().ok());
-    assert!(status == 200 && turns.is_some_and(|n| n > 60), "{figures}");
+        metrics.lines().find_map(|l| l.strip_prefix("app_loop_turns ")).and_then(|n| n.parse::<u64>().ok());
+    assert!(status == 200 && turns.is_some_and(|n| n > 60), "{metrics}");
 
     let checker = load.end();
     let counts = checker.counts();
