--- a/crates/gradeshunt/src/cli.rs
+++ b/crates/gradeshunt/src/cli.rs
@@ -9,8 +9,8 @@
 
 use crate::routing::{rules, Origin};
 
-/// Bytes in which `classify` remembers shapes.
-const SHAPES: usize = 16 << 20;
+/// Memory in which `classify` caches shapes, in bytes.
+const SHAPE_CACHE_BYTES: usize = 16 << 20;
 
 /// A proxy for replicated PostgreSQL.
 #[derive(Debug, Parser)]
@@ -18,10 +18,10 @@
 pub struct Arguments {
     #[command(subcommand)]
     pub(crate) command: Option<Command>,
-    /// How lines of the log are written.
+    /// Format of the log's lines.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     pub(crate) log_format: LogFormat,
-    /// What the log holds: `debug` adds all that the decisions hear and ask for.
+    /// What is logged: `debug` adds all events and actions of the decision library.
     #[arg(long, global = true, value_enum, default_value_t = LogLevel::Info)]
     pub(crate) log_level: LogLevel,
 }
@@ -40,32 +40,34 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve clients; the same as no command.
+    /// Serve clients; the same as without a command.
     Run {
-        /// The configuration; $ROUTER_CONFIG where it is not given.
+        /// The configuration file; by default $ROUTER_CONFIG.
         #[arg(long)]
         config: Option<PathBuf>,
     },
-    /// Check a configuration, without serving.
+    /// Check a configuration without serving.
     Check {
-        /// The file.
+        /// The configuration file.
         config: PathBuf,
     },
-    /// Tell what statements do: from the arguments, or one a line from standard input.
+    /// Classify SQL statements, from the arguments or one per line from standard input.
     Classify {
-        /// The operators' rules: their functions and types count, and the class of the first route that matches is told.
+        /// The operators' rules: their functions and types are taken into account, and the class of the first
+        /// matching route is printed.
         #[arg(long)]
         rules: Option<PathBuf>,
         #[arg(long, value_enum, default_value_t = ClassFormat::Json)]
         format: ClassFormat,
-        /// Statements on standard input are separated by NUL bytes, and may have several lines.
+        /// Statements on standard input are separated by NUL bytes and may span several lines.
         #[arg(long)]
         null: bool,
         sql: Vec<String>,
     },
-    /// Tell what becomes of the load when sites are lost. Ends with status 3 where a loss is not borne.
+    /// Plan how load is distributed when sites are lost. Exits with status 3 if a loss is not borne.
     Plan(crate::planning::Options),
-    /// Tell which proxies form groups and serve which sets, by the operators' file on placement.
+    /// Show which proxies form groups and which sets they serve, according to the operators' file on
+    /// placement.
     Placement(crate::placement_command::Options),
 }
 
@@ -75,7 +77,7 @@
     Json,
 }
 
-/// Where a statement may go.
+/// Returns the kind of db host that a statement may go to.
 fn target(access: Access) -> &'static str {
     if access == Access::Read {
         "replica"
@@ -84,9 +86,9 @@
     }
 }
 
-fn show(told: &Told, class: Option<&str>, format: ClassFormat) -> String {
-    let verdict = &*told.verdict;
-    let shape = told.shape.map(|s| s.to_string());
+fn format_verdict(classified: &Told, class: Option<&str>, format: ClassFormat) -> String {
+    let verdict = &*classified.verdict;
+    let shape = classified.shape.map(|s| s.to_string());
     let (access, target) = (verdict.access.name(), target(verdict.access));
     match format {
         ClassFormat::Json => {
@@ -102,28 +104,29 @@
     }
 }
 
-/// Classes statements, in the order in which they come.
+/// Classifies statements in input order.
 ///
 /// # Errors
-/// Where the rules or standard input can't be read, or standard output can't be written.
+/// If the rules or standard input can't be read, or standard output can't be written.
 pub fn classify(
     rules: Option<PathBuf>,
     format: ClassFormat,
     null: bool,
     sql: Vec<String>,
 ) -> Result<(), String> {
-    let (declared, routes) = rules.map_or_else(|| Ok(Default::default()), |file| rules::outline(&file))?;
-    // The same shape has the same number in every call: it is no secret here.
-    let mut classer = Classer::new(Key(0, 0), Catalogue::new(&declared), SHAPES);
+    let (declared, routes) =
+        rules.map_or_else(|| Ok(Default::default()), |file| rules::read_outline(&file))?;
+    // A fixed key gives a shape the same number in every call: it needs no secrecy here.
+    let mut classer = Classer::new(Key(0, 0), Catalogue::new(&declared), SHAPE_CACHE_BYTES);
     let mut out = BufWriter::new(io::stdout().lock());
-    let mut tell = |statement: &str| {
-        let told = classer.class(statement);
-        let sent = matches!(told.verdict.access, Access::Read | Access::Write | Access::Unknown);
-        let route = routes.iter().find(|(m, _)| sent && m.holds(&Origin::default(), &told.verdict));
-        let line = show(&told, route.map(|(_, class)| class.as_str()), format);
+    let mut print = |statement: &str| {
+        let classified = classer.class(statement);
+        let sent = matches!(classified.verdict.access, Access::Read | Access::Write | Access::Unknown);
+        let route = routes.iter().find(|(m, _)| sent && m.accepts(&Origin::default(), &classified.verdict));
+        let line = format_verdict(&classified, route.map(|(_, class)| class.as_str()), format);
         writeln!(out, "{line}")
     };
-    let mut told = Ok(());
+    let mut written = Ok(());
     if sql.is_empty() {
         let mut input = io::stdin().lock();
         let mut bytes = Vec::new();
@@ -135,15 +138,16 @@
                 break;
             }
             let end = if bytes.last() == Some(&separator) { bytes.len() - 1 } else { bytes.len() };
-            // What is no UTF-8 can't be a statement; its line is kept, so that answers and questions match.
-            told = told.and_then(|()| tell(std::str::from_utf8(&bytes[..end]).unwrap_or("\0")));
+            // Input that is not UTF-8 can't be a statement; it still gets a line of output, so that output
+            // and input lines match.
+            written = written.and_then(|()| print(std::str::from_utf8(&bytes[..end]).unwrap_or("\0")));
         }
     } else {
-        told = sql.iter().try_for_each(|s| tell(s));
+        written = sql.iter().try_for_each(|s| print(s));
     }
-    match told.and_then(|()| out.flush()) {
-        // Whoever reads has enough.
+    match written.and_then(|()| out.flush()) {
+        // The reader has closed the pipe.
         Err(e) if e.kind() == io::ErrorKind::BrokenPipe => Ok(()),
-        told => told.map_err(|e| format!("cannot write standard output: {e}")),
+        written => written.map_err(|e| format!("cannot write standard output: {e}")),
     }
 }
--- a/crates/gradeshunt/src/frontend/closing.rs
+++ b/crates/gradeshunt/src/frontend/closing.rs
@@ -1,7 +1,7 @@
-//! Why clients' connections are closed from here, and whether they may be.
+//! The reasons for which the proxy closes client connections, and the facts that decide whether it may.
 
 use leadmast::invariant::Rule;
-use leadmast::permission::{ClientFacts, ClientStage};
+use leadmast::permission::{ClientStage, ClientState};
 use slog::debug;
 
 use super::session::{Session, Stage};
@@ -10,94 +10,98 @@
 use crate::ids::SessionId;
 use crate::turn::Turn;
 
-/// Why a client's connection is closed from here.
+/// Why the proxy closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum CloseReason {
-    /// It has been idle among many.
+    /// The client has been idle while many clients are connected.
     Idle,
     /// The proxy drains.
     Draining,
-    /// It makes room for another.
-    Room,
-    /// There was no room for it.
-    Full,
-    /// Too much stands in buffers.
-    Memory,
-    /// It took too long over a message.
-    Slow,
-    /// It has sent what is not the protocol.
-    Protocol,
-    /// It asks for what is not served.
-    Unsupported,
-    /// It is not one of the proxies that may connect.
-    Stranger,
-    /// It has asked another request to be cancelled, which is all that such a connection does.
+    /// The client makes room for a new one.
+    MakeRoom,
+    /// The proxy has its maximum number of clients, and none could be closed for this one.
+    TooManyClients,
+    /// The process holds too many bytes in buffers.
+    OutOfMemory,
+    /// The client took too long to send a whole message.
+    MessageTimeout,
+    /// The client violated the protocol.
+    ProtocolViolation,
+    /// The client asks for a protocol version that is not supported.
+    UnsupportedProtocol,
+    /// The client connected to the listener for other proxies and is none of them.
+    PeerNotAdmitted,
+    /// The connection carried a cancel request, after which it always closes.
     CancelRequest,
-    /// It has taken its leave.
-    Goodbye,
-    /// The value that it was getting has broken off.
-    ValueCut,
+    /// The client sent Terminate.
+    Terminate,
+    /// The db host's connection broke in the middle of a value that was already being passed on.
+    ValueTruncated,
 }
 
 impl CloseReason {
-    /// Whether a request may cross the close, which is answered if it is read. Whoever is closed for what it has sent may still be
-    /// sending, and is read until it has had the error that says why.
+    /// Whether bytes that arrive after the close stay unread. An idle or drained client may send a request at
+    /// the same time as the proxy closes; a request that was never read may safely be sent again elsewhere. A
+    /// client that is closed because of what it sent may still be sending; its bytes are read and discarded,
+    /// so that the error message that explains the close is not lost to a reset.
     pub(super) fn leaves_unread(self) -> bool {
         matches!(self, CloseReason::Idle | CloseReason::Draining)
     }
 
-    /// Its name in the log and the figures.
+    /// The reason's name in the log and in metrics.
     pub(super) fn name(self) -> &'static str {
         match self {
             CloseReason::Idle => "idle",
             CloseReason::Draining => "draining",
-            CloseReason::Room => "room",
-            CloseReason::Full => "full",
-            CloseReason::Memory => "memory",
-            CloseReason::Slow => "slow",
-            CloseReason::Protocol => "protocol",
-            CloseReason::Unsupported => "unsupported",
-            CloseReason::Stranger => "stranger",
+            CloseReason::MakeRoom => "room",
+            CloseReason::TooManyClients => "full",
+            CloseReason::OutOfMemory => "memory",
+            CloseReason::MessageTimeout => "slow",
+            CloseReason::ProtocolViolation => "protocol",
+            CloseReason::UnsupportedProtocol => "unsupported",
+            CloseReason::PeerNotAdmitted => "stranger",
             CloseReason::CancelRequest => "cancel_request",
-            CloseReason::Goodbye => "goodbye",
-            CloseReason::ValueCut => "value_cut",
+            CloseReason::Terminate => "goodbye",
+            CloseReason::ValueTruncated => "value_cut",
         }
     }
 }
 
 impl Session {
-    /// What is known of it when it is to be closed. `may_ask_yet`: its first request may be on its way, and is waited for.
-    pub(super) fn close_facts(&self, may_ask_yet: bool) -> ClientFacts {
+    /// Returns the facts that decide whether the session may be closed. `may_ask_yet` says that its first
+    /// request may still be in transit and is waited for.
+    pub(super) fn close_facts(&self, may_ask_yet: bool) -> ClientState {
         let stage = match self.stage {
-            Stage::Startup | Stage::Ready if !self.asked => ClientStage::New,
+            Stage::Startup | Stage::Ready if !self.has_sent_query => ClientStage::New,
             Stage::Startup | Stage::Ready => ClientStage::Between,
             Stage::Waiting(_) => ClientStage::Waiting,
             Stage::Closing => ClientStage::Closing,
             Stage::Lingering => ClientStage::Lingering,
         };
-        ClientFacts {
+        ClientState {
             stage,
-            message_begun: !self.inbound.is_empty(),
+            message_partly_read: !self.inbound.is_empty(),
             bytes_unread: !self.polled.is_quiet(),
             answer_unwritten: !self.outbound.is_empty(),
-            may_ask_yet,
+            awaiting_first_request: may_ask_yet,
         }
     }
 }
 
 impl Frontend {
-    /// A client's connection is closed from here.
-    pub(super) fn note_close(&mut self, turn: &Turn, id: SessionId, reason: CloseReason) {
-        *self.closes.entry(reason.name()).or_default() += 1;
+    /// Counts and logs that the proxy closes a client's connection.
+    pub(super) fn record_close(&mut self, turn: &Turn, id: SessionId, reason: CloseReason) {
+        *self.close_counts.entry(reason.name()).or_default() += 1;
         debug!(turn.log, "client closed"; "why" => reason.name(), "session" => id.0);
     }
 
-    /// A connection ends with a request out: only its client may have brought that about.
-    pub(super) fn audit_abandoned(&self, turn: &Turn, exchange: &mut Exchange, id: SessionId) {
+    /// Records a violation if a session closes while its request is in progress, unless the client ended the
+    /// connection.
+    pub(super) fn check_abandoned(&self, turn: &Turn, exchange: &mut Exchange, id: SessionId) {
         let abandoned =
-            self.sessions.get(&id).is_some_and(|s| matches!(s.stage, Stage::Waiting(_)) && !s.ended);
+            self.sessions.get(&id).is_some_and(|s| matches!(s.stage, Stage::Waiting(_)) && !s.disconnected);
         if abandoned {
-            exchange.violated(turn, Rule::ClosedUnanswered, None);
+            exchange.record_violation(turn, Rule::ClosedUnanswered, None);
         }
     }
 }
--- a/crates/gradeshunt/src/frontend/eviction.rs
+++ b/crates/gradeshunt/src/frontend/eviction.rs
@@ -1,80 +1,84 @@
-//! Which clients are closed between requests: to make room, when idle among many, or because the proxy stops.
+//! Chooses the clients that are closed between requests: to make room, because they are idle among many, or
+//! because the proxy drains.
 
-use leadmast::permission::{may_close, ClientFacts};
+use leadmast::permission::{may_close, ClientState};
 use leadmast::Micros;
 use slog::info;
 
 use super::closing::CloseReason;
-use super::peers::leaving;
+use super::peers::stopping_error;
 use super::session::{Session, Stage};
-use super::{Frontend, Service};
-use crate::deadlines::Due;
+use super::{Frontend, ServiceState};
+use crate::deadlines::DeadlineKind;
 use crate::exchange::Exchange;
 use crate::ids::SessionId;
 use crate::pg::Writer;
 use crate::turn::Turn;
 
-/// How long a slow client may take over its first request.
-pub(super) const SLOW_CLIENT: Micros = 2_100_000;
-/// A client that connected, or had its answer, less than this ago is evicted last.
-pub(super) const RECENT: Micros = 50_000;
-/// A client that has started its session and not asked yet is evicted late until it is this old.
-const NEW_CLIENT: Micros = 500_000;
-/// A client that has been without a request for this long expects to be closed.
+/// How long a client may take to send its first request before it is among the first to be evicted.
+pub(super) const FIRST_REQUEST_LIMIT: Micros = 2_100_000;
+/// A client that connected or received its answer less than this long ago is evicted last.
+pub(super) const RECENT_ACTIVITY: Micros = 50_000;
+/// A client whose session has started but that has sent no request is evicted last until it has been
+/// connected this long.
+const NEW_SESSION_PERIOD: Micros = 500_000;
+/// A client that has been idle this long expects to be closed, and is while more than an eighth of the
+/// maximum are open.
 const IDLE_LIMIT: Micros = 2_000_000;
-/// Interval between searches for idle clients.
-const REAP_INTERVAL: Micros = 50_000;
-/// How long a client may be idle while many are open.
+/// Interval between scans for idle clients.
+const IDLE_SCAN_INTERVAL: Micros = 50_000;
+/// How long a client may be idle while more than two fifths of the maximum are open.
 const CROWDED_IDLE_LIMIT: Micros = 100_000;
-/// How long a new client may take over its first request while the proxy drains.
+/// How long a draining proxy waits for the first request of a new client.
 const FIRST_REQUEST_GRACE: Micros = 2_300_000;
 
 impl Frontend {
-    /// Begins to close clients between requests, or serves them on.
+    /// Enters or leaves standby; in standby, clients are closed between requests.
     pub fn set_standby(&mut self, turn: &mut Turn, exchange: &mut Exchange, standby: bool) {
         match self.service {
-            Service::Closing => {}
-            _ if standby => self.drain(turn, exchange, Service::Standby),
-            _ => self.service = Service::Running,
+            ServiceState::Closing => {}
+            _ if standby => self.start_draining(turn, exchange, ServiceState::Standby),
+            _ => self.service = ServiceState::Running,
         }
     }
 
-    pub(super) fn drain(&mut self, turn: &mut Turn, exchange: &mut Exchange, service: Service) {
+    /// Enters a draining state and closes every client that is between requests.
+    pub(super) fn start_draining(&mut self, turn: &mut Turn, exchange: &mut Exchange, service: ServiceState) {
         self.service = service;
         for id in self.sessions.keys().copied().collect::<Vec<_>>() {
             self.ready(turn, exchange, id);
         }
     }
 
-    /// While the proxy drains, closes a client once it is quiet: nothing unread, nothing unanswered. One that has yet
-    /// to ask gets its time; its request is on its way, as a rule.
+    /// While the proxy drains, closes a client that has nothing unread and nothing unanswered. A client that
+    /// has sent no request yet is given [`FIRST_REQUEST_GRACE`], because its request is usually in transit.
     pub(super) fn close_if_draining(&mut self, turn: &mut Turn, id: SessionId) {
         let Some(s) = self.sessions.get(&id) else { return };
-        if self.service == Service::Running || s.is_ending() {
+        if self.service == ServiceState::Running || s.is_closing() {
             return;
         }
-        let fresh =
-            turn.now - s.since <= FIRST_REQUEST_GRACE && self.drain_deadline.is_none_or(|at| turn.now < at);
-        // Another proxy sends what crosses the close elsewhere.
-        if may_close(&s.close_facts(fresh && !s.is_peer())).is_ok() {
-            let last = if s.is_peer() { leaving() } else { Writer::default() };
+        let within_grace = turn.now - s.last_active <= FIRST_REQUEST_GRACE
+            && self.drain_deadline.is_none_or(|at| turn.now < at);
+        // No grace for other proxies: they resend a request that crosses the close to another proxy.
+        if may_close(&s.close_facts(within_grace && !s.is_peer())).is_ok() {
+            let last = if s.is_peer() { stopping_error() } else { Writer::default() };
             self.close_with(turn, id, last, CloseReason::Draining);
         }
     }
 
-    /// Sums up in the log who was closed to make room.
+    /// Logs how many clients were closed to make room since the last summary, by kind.
     pub fn log_summary(&mut self, turn: &Turn) {
-        let [closing, mute, idle, slow, fresh, between] = std::mem::take(&mut self.evicted);
+        let [closing, mute, idle, slow, fresh, between] = std::mem::take(&mut self.evictions_by_rank);
         info!(turn.log, "clients"; "open" => self.sessions.len(), "closing" => closing, "mute" => mute,
             "idle" => idle, "slow" => slow, "between" => between, "new" => fresh);
     }
 
-    /// Closes clients that have had their answers and keep their connection for good, or that connect and say
-    /// nothing. Together they would hold all that clients may hold, and nobody else's request would get through. Where few are open, as with a
-    /// person at a prompt, none is closed.
-    pub fn reap(&mut self, turn: &mut Turn) {
-        turn.deadlines.set(turn.now + REAP_INTERVAL, Due::Reap);
-        if self.service != Service::Running {
+    /// Closes clients that stay connected without sending requests, or that connect and send nothing.
+    /// Together they could use up all connections, and no other client's request would get through. While few
+    /// clients are open, none is closed, so that a person at a prompt keeps the connection.
+    pub fn close_idle_clients(&mut self, turn: &mut Turn) {
+        turn.deadlines.set(turn.now + IDLE_SCAN_INTERVAL, DeadlineKind::ScanIdleClients);
+        if self.service != ServiceState::Running {
             return self
                 .sessions
                 .keys()
@@ -83,85 +87,91 @@
                 .into_iter()
                 .for_each(|id| self.close_if_draining(turn, id));
         }
-        let open = self.sessions.values().filter(|s| !s.is_ending()).count();
-        if open <= self.most / 8 {
+        let open = self.sessions.values().filter(|s| !s.is_closing()).count();
+        if open <= self.max_clients / 8 {
             return;
         }
-        // One at a time beyond so many, the longest idle first: a close may cross a request.
-        let excess = open.saturating_sub(self.most * 2 / 5);
-        // The fuller, the sooner: their clients, too, have only so many connections.
-        let idle_limit = if open > self.most * 3 / 5 { RECENT } else { CROWDED_IDLE_LIMIT };
+        // Closes only as many as are open beyond two fifths of the maximum, the longest idle first, because
+        // the client may send a request at the same moment.
+        let excess = open.saturating_sub(self.max_clients * 2 / 5);
+        // The fuller the proxy, the sooner idle clients are closed: their side has a limited number of
+        // connections as well.
+        let idle_limit = if open > self.max_clients * 3 / 5 { RECENT_ACTIVITY } else { CROWDED_IDLE_LIMIT };
         let idle = self.sessions.iter().filter_map(|(id, s)| {
             let limit = match s.stage {
-                Stage::Startup => SLOW_CLIENT,
-                Stage::Ready if s.asked && !s.is_peer() => idle_limit,
+                Stage::Startup => FIRST_REQUEST_LIMIT,
+                Stage::Ready if s.has_sent_query && !s.is_peer() => idle_limit,
                 Stage::Ready | Stage::Waiting(_) | Stage::Closing | Stage::Lingering => return None,
             };
-            let old = turn.now - s.since > limit;
-            (old && may_close(&s.close_facts(false)).is_ok()).then_some((s.since, *id))
+            let old = turn.now - s.last_active > limit;
+            (old && may_close(&s.close_facts(false)).is_ok()).then_some((s.last_active, *id))
         });
         let mut idle: Vec<_> = idle.collect();
         idle.sort();
         let over = |n: usize, since: Micros| n < excess || turn.now - since > IDLE_LIMIT;
         let idle = idle.into_iter().enumerate().filter(|(n, (since, _))| over(*n, *since));
         for (_, (_, id)) in idle.collect::<Vec<_>>() {
-            self.evicted[2] += 1;
-            // A request may be on its way: closed at once, the connection would be reset, and the last answer with it.
+            self.evictions_by_rank[2] += 1;
+            // A request may be in transit. An immediate close would reset the connection and could lose the
+            // last answer.
             self.close_with(turn, id, Writer::default(), CloseReason::Idle);
         }
     }
 
-    /// Closes the client with the lowest [`eviction_rank`], the oldest of equals; false where none may be closed.
+    /// Closes the client with the lowest [`eviction_rank`], of equal ranks the one longest unused. Returns
+    /// false if no client may be closed.
     pub(super) fn evict_one(&mut self, turn: &mut Turn) -> bool {
         let rank = |s: &Session| {
-            // Whoever keeps a connection to a home needs it all the time.
+            // Other proxies use their connections to a home all the time.
             if s.is_peer() && !matches!(s.stage, Stage::Lingering) {
                 return None;
             }
             let empty = s.inbound.is_empty() && s.outbound.is_empty();
-            eviction_rank(&s.stage, s.asked, empty, turn.now - s.since)
+            eviction_rank(&s.stage, s.has_sent_query, empty, turn.now - s.last_active)
         };
-        let idle = self.sessions.iter().filter_map(|(id, s)| Some((rank(s)?, s.since, *id)));
+        let idle = self.sessions.iter().filter_map(|(id, s)| Some((rank(s)?, s.last_active, *id)));
         let mut idle: Vec<_> = idle.collect();
         idle.sort();
-        // A request may stand unread in the socket: it counts as taken. A first message that is not whole is none yet.
-        let may_go = |id: &SessionId| {
-            let facts = self.sessions.get(id).map(|s| ClientFacts {
-                message_begun: s.asked && !s.inbound.is_empty(),
-                answer_unwritten: s.asked && !s.outbound.is_empty(),
+        // A request that is unread in the socket counts as accepted. An incomplete first message does not.
+        let is_closable = |id: &SessionId| {
+            let facts = self.sessions.get(id).map(|s| ClientState {
+                message_partly_read: s.has_sent_query && !s.inbound.is_empty(),
+                answer_unwritten: s.has_sent_query && !s.outbound.is_empty(),
                 ..s.close_facts(false)
             });
             facts.is_some_and(|facts| may_close(&facts).is_ok())
         };
-        let oldest = idle.into_iter().find(|(_, _, id)| may_go(id));
+        let oldest = idle.into_iter().find(|(_, _, id)| is_closable(id));
         if let Some((rank, _, id)) = oldest {
-            self.evicted[rank] += 1;
-            self.note_close(turn, id, CloseReason::Room);
+            self.evictions_by_rank[rank] += 1;
+            self.record_close(turn, id, CloseReason::MakeRoom);
             self.close(turn, id);
         }
         oldest.is_some()
     }
 }
 
-/// In which order clients are closed where room is needed, 0 first; `None` for those that are not. Those go first that
-/// are being closed and have their last answer, or took longer over their first request than a slow client may; then those that
-/// have had their answer, to whom a close costs no more than a new connection; then the longest under way with a first
-/// request, since most of a crowd that never ends one are among them.
-pub(super) fn eviction_rank(stage: &Stage, asked: bool, empty: bool, age: Micros) -> Option<usize> {
+/// Returns the order in which clients are closed to make room, 0 first, or `None` if the client must not be
+/// closed. First are closing clients that have their last answer, then clients that took longer than
+/// [`FIRST_REQUEST_LIMIT`] over their first request. Next are clients that have had an answer, for whom a
+/// close costs no more than a new connection. Then come clients that have been sending a first request for
+/// long, because most clients that never complete one are among them; the newest clients come last.
+pub(super) fn eviction_rank(stage: &Stage, has_sent_query: bool, empty: bool, age: Micros) -> Option<usize> {
     match stage {
         Stage::Lingering => Some(0),
-        Stage::Startup | Stage::Ready if !asked => {
-            // One that has introduced itself is no mere connection: it has a while for its request.
+        Stage::Startup | Stage::Ready if !has_sent_query => {
+            // A client that has sent its startup message is likely to send a request and gets more time for
+            // it.
             let started = matches!(stage, Stage::Ready);
             Some(match age {
-                SLOW_CLIENT.. => 1,
-                NEW_CLIENT.. => 3,
-                RECENT.. if !started => 3,
+                FIRST_REQUEST_LIMIT.. => 1,
+                NEW_SESSION_PERIOD.. => 3,
+                RECENT_ACTIVITY.. if !started => 3,
                 _ if !started => 4,
                 _ => 5,
             })
         }
-        Stage::Ready if empty => Some(if age >= RECENT { 2 } else { 5 }),
+        Stage::Ready if empty => Some(if age >= RECENT_ACTIVITY { 2 } else { 5 }),
         Stage::Startup | Stage::Ready | Stage::Waiting(_) | Stage::Closing => None,
     }
 }
--- a/crates/gradeshunt/src/frontend/listener.rs
+++ b/crates/gradeshunt/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! The listeners: clients and other proxies are accepted here, until they close.
+//! The listeners for clients and for other proxies: opening, accepting connections, closing.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -9,70 +9,72 @@
 
 use super::closing::CloseReason;
 use super::session::{Session, Stage, MESSAGE_TIMEOUT};
-use super::{Frontend, Service};
+use super::{Frontend, ServiceState};
 use crate::accept_failure::AcceptFailure;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::Exchange;
 use crate::ids::SessionId;
-use crate::inbound::Inbound;
+use crate::inbound::InputBuffer;
 use crate::pg::{sqlstate, Writer};
 use crate::ring::Ring;
 use crate::routing::Origin;
-use crate::turn::{Polled, Source as Polling, Turn};
+use crate::turn::{EventSource, Polled, Turn};
 
-/// Connections accepted in one turn.
+/// Maximum number of connections accepted from one listener in one turn.
 const ACCEPTS_PER_TURN: usize = 64;
 
-/// Pause after connections could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_RETRY: Micros = 20_000;
 
-/// What is left of the connections that the kernel has accepted for us.
+/// State of a listener's backlog after accepting.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Backlog {
     Empty,
     /// More may be waiting.
     More,
-    /// The system gives no descriptor for the next one.
-    Stuck,
+    /// Accepting the next connection failed, for example for want of a descriptor.
+    Failed,
 }
 
 impl Frontend {
-    /// Accepts clients from now on.
+    /// Starts to accept clients.
     pub fn open(&mut self, turn: &mut Turn, listener: TcpListener) -> io::Result<()> {
-        self.listener = Some(Polled::new(turn, listener, Polling::Listener)?);
-        // What came before the socket was polled is told to nobody.
-        turn.again.push(Polling::Listener);
+        self.listener = Some(Polled::new(turn, listener, EventSource::Listener)?);
+        // The poll is edge-triggered and does not report connections that arrived before the registration.
+        turn.unfinished.push(EventSource::Listener);
         Ok(())
     }
 
-    /// Accepts other proxies from now on, and nowhere else.
+    /// Starts to accept other proxies at this listener, which replaces the former one.
     pub fn listen_for_peers(&mut self, turn: &mut Turn, listener: TcpListener) -> io::Result<()> {
-        let polled = Polled::new(turn, listener, Polling::PeerListener)?;
+        let polled = Polled::new(turn, listener, EventSource::PeerListener)?;
         if let Some(former) = self.peer_listener.replace(polled) {
             former.close(turn);
         }
-        turn.again.push(Polling::PeerListener);
+        turn.unfinished.push(EventSource::PeerListener);
         Ok(())
     }
 
+    /// Accepts connections of clients.
     pub fn accept(&mut self, turn: &mut Turn) {
-        if self.accept_some(turn, Source::Client) == Backlog::More {
-            turn.again.push(Polling::Listener);
+        if self.accept_from(turn, Source::Client) == Backlog::More {
+            turn.unfinished.push(EventSource::Listener);
         }
     }
 
     /// Accepts connections of other proxies.
     pub fn accept_peers(&mut self, turn: &mut Turn) {
-        if self.accept_some(turn, Source::Proxy) == Backlog::More {
-            turn.again.push(Polling::PeerListener);
+        if self.accept_from(turn, Source::Proxy) == Backlog::More {
+            turn.unfinished.push(EventSource::PeerListener);
         }
     }
 
-    fn accept_some(&mut self, turn: &mut Turn, from: Source) -> Backlog {
+    /// Accepts a limited number of connections from one of the listeners.
+    fn accept_from(&mut self, turn: &mut Turn, from: Source) -> Backlog {
         for _ in 0..ACCEPTS_PER_TURN {
-            let (listener, again) = match from {
-                Source::Client => (&self.listener, Due::Accept),
-                Source::Proxy => (&self.peer_listener, Due::AcceptPeers),
+            let (listener, retry) = match from {
+                Source::Client => (&self.listener, DeadlineKind::RetryAccept),
+                Source::Proxy => (&self.peer_listener, DeadlineKind::RetryAcceptPeers),
             };
             let Some(listener) = listener else { return Backlog::Empty };
             let backlog = usize::from(from == Source::Proxy);
@@ -82,22 +84,24 @@
                         warn!(turn.log, "cannot serve a connection"; "error" => e.to_string());
                     }
                 }
-                Err(e) => match AcceptFailure::of(&e) {
-                    AcceptFailure::NoneWaits => {
+                Err(e) => match AcceptFailure::from_error(&e) {
+                    AcceptFailure::NoneWaiting => {
                         self.backlog_since[backlog] = None;
                         return Backlog::Empty;
                     }
-                    AcceptFailure::ThatConnection => {}
+                    AcceptFailure::BrokenConnection => {}
                     failure => {
-                        // The listener stays readable, so it is tried again only after a pause.
+                        // The next accept would fail likewise, so the listener is tried again only after a
+                        // pause.
                         warn!(turn.log, "cannot accept connections"; "error" => e.to_string());
-                        if failure == AcceptFailure::Descriptors {
+                        if failure == AcceptFailure::OutOfDescriptors {
                             self.evict_one(turn);
                         }
-                        // What waits has waited since now, for all that is known.
-                        self.backlog_since[backlog].get_or_insert(turn.now - turn.unread);
-                        turn.deadlines.set(turn.now + ACCEPT_RETRY, again);
-                        return Backlog::Stuck;
+                        // As far as is known, the waiting connections have been waiting since this turn's
+                        // input may have arrived.
+                        self.backlog_since[backlog].get_or_insert(turn.now - turn.unread_for);
+                        turn.deadlines.set(turn.now + ACCEPT_RETRY, retry);
+                        return Backlog::Failed;
                     }
                 },
             }
@@ -105,6 +109,8 @@
         Backlog::More
     }
 
+    /// Starts a session on an accepted connection. If the proxy is full, closes another client, or else this
+    /// one.
     pub(super) fn accept_session(
         &mut self,
         turn: &mut Turn,
@@ -113,26 +119,26 @@
     ) -> io::Result<()> {
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
-        let id = SessionId(self.next);
-        self.next += 1;
-        let full = self.sessions.len() >= self.most && !self.evict_one(turn);
-        let polled = Polled::new(turn, socket, Polling::Session(id))?;
+        let id = SessionId(self.next_session);
+        self.next_session += 1;
+        let full = self.sessions.len() >= self.max_clients && !self.evict_one(turn);
+        let polled = Polled::new(turn, socket, EventSource::Session(id))?;
         let session = Session {
             polled,
-            inbound: Inbound::default(),
+            inbound: InputBuffer::default(),
             outbound: Ring::default(),
             stage: Stage::Startup,
             source,
             leaves_unread: false,
-            skipping: false,
-            ended: false,
-            asked: false,
-            since: turn.now,
-            waited_since: self.backlog_since[usize::from(source == Source::Proxy)],
+            skips_until_sync: false,
+            disconnected: false,
+            has_sent_query: false,
+            last_active: turn.now,
+            backlogged_since: self.backlog_since[usize::from(source == Source::Proxy)],
             due: None,
             origin: Origin::default(),
-            writing: false,
-            wrote: None,
+            may_write: false,
+            last_write: None,
         };
         self.sessions.insert(id, session);
         self.set_due(turn, id, Some(turn.now + MESSAGE_TIMEOUT));
@@ -140,33 +146,35 @@
             warn!(turn.log, "too many clients, turning one away"; "clients" => self.sessions.len());
             let error =
                 Writer::default().error("FATAL", sqlstate::TOO_MANY_CONNECTIONS, "too many clients", None);
-            self.close_with(turn, id, error, CloseReason::Full);
+            self.close_with(turn, id, error, CloseReason::TooManyClients);
         }
         Ok(())
     }
 
-    /// Stops accepting after SIGTERM, and begins to close clients between requests. What waits on the socket is a
-    /// successor's where there is one; it is the same socket, and must not be shut down.
-    pub fn close_listener(&mut self, turn: &mut Turn, exchange: &mut Exchange, succeeded: bool) {
-        // Connections that the kernel has accepted count as the proxy's.
+    /// Stops accepting after SIGTERM and starts to close clients between requests. If another process has
+    /// taken over (`has_successor`), connections in the backlog are left to it; the two share the socket, so
+    /// it must not be shut down.
+    pub fn close_listener(&mut self, turn: &mut Turn, exchange: &mut Exchange, has_successor: bool) {
+        // Without a successor, connections that the kernel has already accepted are still served.
         let backlog = std::iter::repeat_with(|| {
-            if succeeded {
+            if has_successor {
                 Backlog::Empty
             } else {
-                self.accept_some(turn, Source::Client)
+                self.accept_from(turn, Source::Client)
             }
         })
         .find(|b| *b != Backlog::More);
-        if backlog == Some(Backlog::Stuck) {
-            // They would be reset with the socket: clients that leave make room for them.
-            turn.deadlines.set(turn.now + ACCEPT_RETRY, Due::CloseListener);
+        if backlog == Some(Backlog::Failed) {
+            // Closing the socket would reset the waiting connections. Clients that disconnect make room for
+            // them, so the close is retried later.
+            turn.deadlines.set(turn.now + ACCEPT_RETRY, DeadlineKind::CloseListener);
         } else if let Some(listener) = self.listener.take() {
             listener.close(turn);
         }
-        // Other proxies take a refused connection for a home that has gone, and go to the next one.
+        // Other proxies treat a refused connection as a home that is gone, and use the next one.
         if let Some(listener) = self.peer_listener.take() {
             listener.close(turn);
         }
-        self.drain(turn, exchange, Service::Closing);
+        self.start_draining(turn, exchange, ServiceState::Closing);
     }
 }
--- a/crates/gradeshunt/src/memory.rs
+++ b/crates/gradeshunt/src/memory.rs
@@ -1,28 +1,28 @@
-//! What the buffers hold together: each of them is bounded, but all at their bounds would be too much.
+//! Total memory of the buffers: each one is bounded, but all of them at their bounds would be too much.
 
 use std::cell::Cell;
 
 thread_local! {
-    static HELD: Cell<usize> = const { Cell::new(0) };
+    static TOTAL: Cell<usize> = const { Cell::new(0) };
 }
 
-/// Bytes that all buffers hold.
-pub fn held() -> usize {
-    HELD.get()
+/// Returns the bytes that all buffers hold.
+pub fn total_buffered() -> usize {
+    TOTAL.get()
 }
 
-/// The bytes that one buffer holds; they count until it is dropped.
+/// Bytes that one buffer holds; they count until it is dropped.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Held(usize);
+pub struct BufferBytes(usize);
 
-impl Held {
+impl BufferBytes {
     pub fn set(&mut self, bytes: usize) {
-        HELD.set(HELD.get() - self.0 + bytes);
+        TOTAL.set(TOTAL.get() - self.0 + bytes);
         self.0 = bytes;
     }
 }
 
-impl Drop for Held {
+impl Drop for BufferBytes {
     fn drop(&mut self) {
         self.set(0);
     }
--- a/crates/gradeshunt/src/planning.rs
+++ b/crates/gradeshunt/src/planning.rs
@@ -1,4 +1,4 @@
-//! `gradeshunt plan`: what becomes of the load when sites are lost, as a table, as JSON, as a picture.
+//! `gradeshunt plan`: computes how load is distributed when sites are lost, as a table, JSON or a picture.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -10,17 +10,18 @@
 use plotters::prelude::*;
 use serde_json::{json, Value};
 
-/// Plans for losses.
+/// Options of `gradeshunt plan`.
 #[derive(Args, Debug)]
 pub struct Options {
     /// The operators' file on sites.
     file: PathBuf,
-    /// A site that is lost; given several times, they are lost together. Without it, each site and each two.
+    /// A lost site; several of them are lost together. Without it, each site and each pair of sites is
+    /// planned for.
     #[arg(long, value_name = "SITE")]
     lose: Vec<String>,
     #[arg(long, value_enum, default_value_t = Format::Text)]
     format: Format,
-    /// Draws, for each loss, what is used of each site: an SVG file.
+    /// Write an SVG file that shows, for each loss, how much of each site is used.
     #[arg(long, value_name = "FILE")]
     plot: Option<PathBuf>,
 }
@@ -31,10 +32,10 @@
     Json,
 }
 
-/// Prints the plans; tells whether all losses are borne.
+/// Prints the plans; returns whether all losses are borne.
 ///
 /// # Errors
-/// Where the file can't be read or says nothing that can be planned.
+/// If the file can't be read or doesn't describe a layout that can be planned.
 pub fn plan(options: &Options) -> Result<bool, String> {
     let Options { file, lose, format, plot } = options;
     let text = std::fs::read_to_string(file).map_err(|e| format!("cannot read {}: {e}", file.display()))?;
@@ -48,14 +49,14 @@
     lost.dedup();
     let wanted = if lost.is_empty() { losses(&layout) } else { vec![lost] };
     let plans = wanted.iter().map(|lost| solve(&layout, lost)).collect::<Result<Vec<_>, _>>()?;
-    let told = match format {
+    let output = match format {
         Format::Text => plans.iter().map(|p| table(&layout, p)).collect(),
         Format::Json => {
-            format!("{}\n", Value::from(plans.iter().map(|p| object(&layout, p)).collect::<Vec<_>>()))
+            format!("{}\n", Value::from(plans.iter().map(|p| json_plan(&layout, p)).collect::<Vec<_>>()))
         }
     };
-    match std::io::stdout().write_all(told.as_bytes()) {
-        // Whoever reads has enough.
+    match std::io::stdout().write_all(output.as_bytes()) {
+        // The reader has closed the pipe.
         Err(e) if e.kind() != std::io::ErrorKind::BrokenPipe => {
             return Err(format!("cannot write standard output: {e}"))
         }
@@ -71,7 +72,7 @@
     lost.iter().map(|s| layout.sites[s.0].name.as_str()).collect::<Vec<_>>().join(" and ")
 }
 
-fn floor(layout: &Layout, of: &Of) -> String {
+fn floor_name(layout: &Layout, of: &Of) -> String {
     match of {
         Of::Class(c) => format!("class {}", layout.classes[*c].name),
         Of::Tenant(t) => format!("tenant {t}"),
@@ -114,12 +115,12 @@
         let _ = writeln!(text, "  cluster {}: no site is left for its primary", layout.sets[*set].cluster);
     }
     for (f, short) in layout.floors.iter().zip(&plan.short).filter(|(_, s)| **s > 0.0) {
-        let _ = writeln!(text, "  floor of {}: {short:.1} a second short", floor(layout, &f.of));
+        let _ = writeln!(text, "  floor of {}: {short:.1} a second short", floor_name(layout, &f.of));
     }
     text
 }
 
-fn object(layout: &Layout, plan: &Outcome) -> Value {
+fn json_plan(layout: &Layout, plan: &Outcome) -> Value {
     let name = |s: SiteId| layout.sites[s.0].name.clone();
     let refused = plan.refused(layout);
     let demands = layout.demands.iter().enumerate().map(|(n, d)| {
@@ -133,14 +134,14 @@
         json!({"cluster": layout.sets[u.set].cluster, "site": name(u.site), "work": u.work, "bears": u.bears})
     });
     let short = layout.floors.iter().zip(&plan.short).filter(|(_, s)| **s > 0.0);
-    let short = short.map(|(f, s)| json!({"floor": floor(layout, &f.of), "short": s}));
+    let short = short.map(|(f, s)| json!({"floor": floor_name(layout, &f.of), "short": s}));
     let headless = plan.headless.iter().map(|s| layout.sets[*s].cluster);
     json!({"lost": plan.lost.iter().map(|s| name(*s)).collect::<Vec<_>>(), "verdict": plan.verdict(layout).name(),
         "worth": plan.worth, "demands": demands.collect::<Vec<_>>(), "used": used.collect::<Vec<_>>(),
         "short": short.collect::<Vec<_>>(), "headless": headless.collect::<Vec<_>>()})
 }
 
-/// Bars of what is used of each site, for each loss.
+/// Draws bars of how much of each site is used, for each loss.
 fn draw(layout: &Layout, plans: &[Outcome], to: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let bar = |plan: &Outcome, site: usize| {
         let at = plan.used.iter().filter(|u| u.site.0 == site);
--- a/crates/gradeshunt/src/shared/mod.rs
+++ b/crates/gradeshunt/src/shared/mod.rs
@@ -1,8 +1,9 @@
-//! What the processes of one proxy share while one takes over from the other: which db hosts are held out by hand, and
-//! what each process does.
+//! State that the processes of one proxy share while one takes over from the other: which db hosts an
+//! operator holds out, and the state of each process.
 //!
-//! Here is what is known of it, and what file work is to be done next; no file is touched here. [`files`] does the work
-//! and [`worker`] is the thread that it is done on, so that the loop never waits for a disk.
+//! This module keeps what is known and decides which file work comes next; it does no I/O itself. [`files`]
+//! does the file work and [`worker`] is the thread that runs it, so that the event loop never waits for a
+//! disk.
 
 pub mod files;
 pub mod worker;
@@ -14,63 +15,64 @@
 use crate::config::{Config, ConfigError};
 use crate::ids::CallerId;
 
-/// Bans under way at a time; there are no more callers than this, but one that has given up makes room for the next.
-const BANS: usize = 16;
-/// A look that takes longer is told of.
-const STANDS: Micros = 1_000_000;
-/// A configuration that can't be read now is tried again after this long.
+/// Most hold-outs under way at a time. There are no more operators' connections than this, but one that gives
+/// up frees its slot while its task is still under way.
+const MAX_HOLD_OUTS: usize = 16;
+/// A scan of the folder that takes longer is logged.
+const SLOW_SCAN: Micros = 1_000_000;
+/// Pause before a configuration that could not be read is read again.
 const REREAD_PAUSE: Micros = 250_000;
-/// How often the same trouble is told of.
-const COMPLAIN: Micros = 10_000_000;
+/// Shortest interval between two complaints in the log.
+const COMPLAINT_INTERVAL: Micros = 10_000_000;
 
-/// What a process does; it stands as one byte in a file that the process holds locked as long as it lives, so that
-/// one that was killed leaves nothing behind that could pass for it.
+/// State of a process. It is written as one byte to a file that the process keeps locked for as long as it
+/// lives, so that the file of a killed process is not mistaken for that of a live one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Duty {
+pub enum ProcessState {
     Leaving,
     Starting,
     Serving,
 }
 
-impl Duty {
+impl ProcessState {
     pub fn name(self) -> &'static str {
         match self {
-            Duty::Leaving => "leaving",
-            Duty::Starting => "starting",
-            Duty::Serving => "serving",
+            ProcessState::Leaving => "leaving",
+            ProcessState::Starting => "starting",
+            ProcessState::Serving => "serving",
         }
     }
 }
 
-/// What there is to see in the folder.
+/// Contents of the folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// Db hosts that are held out.
+    /// Db hosts that an operator holds out.
     pub held_out: BTreeSet<String>,
-    /// What another process does, if one lives.
-    pub other: Option<Duty>,
+    /// State of the other process of this proxy, if one is alive.
+    pub other_process: Option<ProcessState>,
 }
 
-/// File work to be done, in this order.
+/// File work to be done, in order.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Task {
-    Look,
-    Tell(Duty),
+    Scan,
+    Publish(ProcessState),
     HoldOut {
         caller: CallerId,
         id: String,
         out: bool,
     },
-    /// The configuration is read anew.
+    /// Read the configuration again.
     Reread,
 }
 
-/// File work done. What failed says why.
+/// Completed file work. A failure carries its reason.
 pub enum Done {
     Opened(Result<(), OpenFailure>),
-    Looked(Result<View, String>),
-    Told(Result<(), String>),
-    HeldOut { caller: CallerId, id: String, out: bool, kept: Result<(), String> },
+    Scanned(Result<View, String>),
+    Published(Result<(), String>),
+    HeldOut { caller: CallerId, id: String, out: bool, stored: Result<(), String> },
     Reread(Result<Box<Config>, ConfigError>),
 }
 
@@ -78,201 +80,206 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenFailure {
     pub why: String,
-    /// It may pass, and is tried again.
+    /// The failure is transient, and opening is tried again.
     pub is_transient: bool,
 }
 
-/// What the rest of the program has to do about it.
+/// What the rest of the program has to react to.
 pub enum Change {
-    /// The folder can't be used: the program can't start.
+    /// The folder can't be used, so the program can't start.
     Unusable(String),
-    /// The folder has been seen for the first time: the program may begin.
-    Seen,
-    /// A db host is held out, or readmitted.
-    Ban {
+    /// The folder has been read for the first time, so the program may begin.
+    FirstScan,
+    /// A db host has been held out or readmitted.
+    HoldOut {
         id: String,
         out: bool,
     },
-    /// What another process does is seen, maybe no other than before.
-    Other {
-        anew: bool,
+    /// The state of the other process has been read; `is_new` if it differs from before.
+    OtherProcess {
+        is_new: bool,
     },
-    /// What an operator has asked for is kept, or can't be.
-    Kept {
+    /// An operator's order has been stored, or could not be.
+    HoldOutStored {
         caller: CallerId,
         out: bool,
-        kept: Result<(), String>,
+        stored: Result<(), String>,
     },
     Reread(Result<Box<Config>, ConfigError>),
-    /// A line for the log, at most every 10 s.
-    Complain {
+    /// A line for the log, at most one every 10 s.
+    Warning {
         what: &'static str,
         why: String,
     },
 }
 
-/// Work of a kind of which one at a time is enough.
+/// Work of a kind of which at most one task is under way at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Work {
     Idle,
     Wanted,
-    Out { again: bool },
+    Running { again: bool },
 }
 
 impl Work {
-    fn want(&mut self) {
+    fn request(&mut self) {
         *self = match *self {
             Work::Idle | Work::Wanted => Work::Wanted,
-            Work::Out { .. } => Work::Out { again: true },
+            Work::Running { .. } => Work::Running { again: true },
         };
     }
 
-    fn take(&mut self) -> bool {
+    fn start(&mut self) -> bool {
         let wanted = *self == Work::Wanted;
         if wanted {
-            *self = Work::Out { again: false };
+            *self = Work::Running { again: false };
         }
         wanted
     }
 
-    fn done(&mut self) {
-        *self = if *self == (Work::Out { again: true }) { Work::Wanted } else { Work::Idle };
+    fn finish(&mut self) {
+        *self = if *self == (Work::Running { again: true }) { Work::Wanted } else { Work::Idle };
     }
 }
 
-/// What is known of the folder, and the work that is under way there.
+/// What is known of the folder, and the file work that is under way.
 pub struct Shared {
     view: View,
-    /// Whether the folder was seen at all.
-    seen: bool,
-    look: Work,
-    look_since: Micros,
-    /// Looks asked for so far, the one that the view is from, and the first that shows what was after SIGTERM.
-    looks: u64,
-    seen_by: u64,
-    fresh_from: Option<u64>,
-    tell: Work,
-    /// The last try to tell the duty has failed.
-    tell_again: bool,
-    duty: Duty,
+    /// Whether the folder has been read at least once.
+    is_scanned: bool,
+    scan: Work,
+    scan_started: Micros,
+    /// Scans started so far, the scan that `view` comes from, and the first scan that was started after
+    /// SIGTERM.
+    scans: u64,
+    view_scan: u64,
+    first_leaving_scan: Option<u64>,
+    publish: Work,
+    /// The last attempt to publish the state failed.
+    publish_again: bool,
+    state: ProcessState,
     reread: Work,
-    /// When the configuration is tried again that could not be read.
+    /// When to try again to read a configuration that could not be read.
     reread_at: Option<Micros>,
-    bans: Vec<Task>,
-    bans_out: usize,
-    complain_at: Micros,
+    hold_outs: Vec<Task>,
+    hold_outs_running: usize,
+    next_complaint: Micros,
 }
 
 impl Shared {
     pub fn new() -> Self {
         Shared {
             view: View::default(),
-            seen: false,
-            look: Work::Wanted,
-            look_since: 0,
-            looks: 0,
-            seen_by: 0,
-            fresh_from: None,
-            tell: Work::Idle,
-            tell_again: false,
-            duty: Duty::Starting,
+            is_scanned: false,
+            scan: Work::Wanted,
+            scan_started: 0,
+            scans: 0,
+            view_scan: 0,
+            first_leaving_scan: None,
+            publish: Work::Idle,
+            publish_again: false,
+            state: ProcessState::Starting,
             reread: Work::Idle,
             reread_at: None,
-            bans: Vec::new(),
-            bans_out: 0,
-            complain_at: 0,
+            hold_outs: Vec::new(),
+            hold_outs_running: 0,
+            next_complaint: 0,
         }
     }
 
-    // ---- What is known ----
+    // ---- Known state ----
 
     pub fn is_held_out(&self, id: &str) -> bool {
         self.view.held_out.contains(id)
     }
 
-    /// What another process does, as far as was seen.
-    pub fn other(&self) -> Option<Duty> {
-        self.view.other
+    /// State of the other process, as of the latest scan.
+    pub fn other_process(&self) -> Option<ProcessState> {
+        self.view.other_process
     }
 
-    /// Whether this process may be alone: one that has not looked yet has to think it is not.
+    /// Whether no other process of this proxy is known. Before its first scan a process must assume that
+    /// there is another.
     pub fn is_alone(&self) -> bool {
-        self.seen && self.view.other.is_none()
+        self.is_scanned && self.view.other_process.is_none()
     }
 
-    /// Whether another process serves, seen by a look begun after this one was told to leave.
-    pub fn is_succeeded(&self) -> bool {
-        self.fresh_from.is_some_and(|from| self.seen_by >= from) && self.view.other == Some(Duty::Serving)
+    /// Whether another process serves, as shown by a scan that began after this process was told to leave.
+    pub fn has_successor(&self) -> bool {
+        self.first_leaving_scan.is_some_and(|from| self.view_scan >= from)
+            && self.view.other_process == Some(ProcessState::Serving)
     }
 
-    // ---- What is wanted ----
+    // ---- Requested work ----
 
-    /// A look is due. One that has been out for long is told of. What has failed and may pass is tried again.
-    pub fn look(&mut self, now: Micros) -> Option<Change> {
-        if std::mem::take(&mut self.tell_again) {
-            self.tell.want();
+    /// Requests a scan, and retries what failed for a transient reason. Returns a complaint if a scan has
+    /// been under way for too long.
+    pub fn request_scan(&mut self, now: Micros) -> Option<Change> {
+        if std::mem::take(&mut self.publish_again) {
+            self.publish.request();
         }
         if self.reread_at.take_if(|at| *at <= now).is_some() {
-            self.reread.want();
+            self.reread.request();
         }
-        // One that is out shows what comes next soon enough.
-        if !matches!(self.look, Work::Out { .. }) {
-            self.look.want();
-        } else if now - self.look_since > STANDS {
+        // A scan that is already under way is recent enough.
+        if !matches!(self.scan, Work::Running { .. }) {
+            self.scan.request();
+        } else if now - self.scan_started > SLOW_SCAN {
             return self.complain(
                 now,
-                "file work in $TMPDIR stands",
-                format!("{} ms", (now - self.look_since) / 1000),
+                "file work in $TMPDIR is stuck",
+                format!("{} ms", (now - self.scan_started) / 1000),
             );
         }
         None
     }
 
-    /// This process does something else from now on.
-    pub fn turn_to(&mut self, duty: Duty) {
-        self.duty = duty;
-        self.tell.want();
-        if duty == Duty::Leaving && self.fresh_from.is_none() {
-            self.fresh_from = Some(self.looks + 1);
-            self.look.want();
+    /// Changes the state of this process and has it published.
+    pub fn change_state(&mut self, state: ProcessState) {
+        self.state = state;
+        self.publish.request();
+        if state == ProcessState::Leaving && self.first_leaving_scan.is_none() {
+            self.first_leaving_scan = Some(self.scans + 1);
+            self.scan.request();
         }
     }
 
-    /// An operator holds a db host out, or readmits it; [`Change::Kept`] follows. False where too much is under way.
+    /// Holds a db host out or readmits it for an operator; [`Change::Kept`] follows. Returns false if too
+    /// much is under way.
     #[must_use]
     pub fn hold_out(&mut self, caller: CallerId, id: &str, out: bool) -> bool {
-        let room = self.bans.len() + self.bans_out < BANS;
+        let room = self.hold_outs.len() + self.hold_outs_running < MAX_HOLD_OUTS;
         if room {
-            self.bans.push(Task::HoldOut { caller, id: id.to_owned(), out });
+            self.hold_outs.push(Task::HoldOut { caller, id: id.to_owned(), out });
         }
         room
     }
 
     pub fn reread(&mut self) {
-        self.reread.want();
+        self.reread.request();
     }
 
-    /// The next work to be done. What other processes wait to read is written first.
-    pub fn next(&mut self, now: Micros) -> Option<Task> {
-        if self.tell.take() {
-            return Some(Task::Tell(self.duty));
+    /// Returns the next work to do. What other processes wait for is written first.
+    pub fn next_task(&mut self, now: Micros) -> Option<Task> {
+        if self.publish.start() {
+            return Some(Task::Publish(self.state));
         }
-        if !self.bans.is_empty() {
-            self.bans_out += 1;
-            return Some(self.bans.remove(0));
+        if !self.hold_outs.is_empty() {
+            self.hold_outs_running += 1;
+            return Some(self.hold_outs.remove(0));
         }
-        if self.look.take() {
-            self.looks += 1;
-            self.look_since = now;
-            return Some(Task::Look);
+        if self.scan.start() {
+            self.scans += 1;
+            self.scan_started = now;
+            return Some(Task::Scan);
         }
-        self.reread.take().then_some(Task::Reread)
+        self.reread.start().then_some(Task::Reread)
     }
 
-    // ---- What has come of it ----
+    // ---- Completed work ----
 
-    /// Takes over what file work has come to.
-    pub fn done(&mut self, now: Micros, done: Done) -> Vec<Change> {
+    /// Takes over the result of file work.
+    pub fn complete(&mut self, now: Micros, done: Done) -> Vec<Change> {
         match done {
             Done::Opened(Ok(())) => Vec::new(),
             Done::Opened(Err(failure)) if failure.is_transient => {
@@ -281,32 +288,32 @@
             Done::Opened(Err(failure)) => {
                 vec![Change::Unusable(format!("cannot use $TMPDIR: {}", failure.why))]
             }
-            Done::Looked(view) => {
-                self.look.done();
+            Done::Scanned(view) => {
+                self.scan.finish();
                 match view {
-                    Ok(view) => self.saw(view),
-                    Err(why) => self.complain(now, "cannot look at $TMPDIR", why).into_iter().collect(),
+                    Ok(view) => self.apply_view(view),
+                    Err(why) => self.complain(now, "cannot read $TMPDIR", why).into_iter().collect(),
                 }
             }
-            Done::Told(told) => {
-                self.tell.done();
-                let Err(why) = told else { return Vec::new() };
-                self.tell_again = true;
-                self.complain(now, "cannot tell the other process", why).into_iter().collect()
+            Done::Published(result) => {
+                self.publish.finish();
+                let Err(why) = result else { return Vec::new() };
+                self.publish_again = true;
+                self.complain(now, "cannot publish the state of this process", why).into_iter().collect()
             }
-            Done::HeldOut { caller, id, out, kept } => {
-                self.bans_out = self.bans_out.saturating_sub(1);
-                match (&kept, out) {
+            Done::HeldOut { caller, id, out, stored } => {
+                self.hold_outs_running = self.hold_outs_running.saturating_sub(1);
+                match (&stored, out) {
                     (Err(_), _) => {}
                     (Ok(()), true) => drop(self.view.held_out.insert(id.clone())),
                     (Ok(()), false) => drop(self.view.held_out.remove(&id)),
                 }
-                let ban = kept.is_ok().then_some(Change::Ban { id, out });
-                ban.into_iter().chain([Change::Kept { caller, out, kept }]).collect()
+                let hold_out = stored.is_ok().then_some(Change::HoldOut { id, out });
+                hold_out.into_iter().chain([Change::HoldOutStored { caller, out, stored }]).collect()
             }
             Done::Reread(config) => {
-                self.reread.done();
-                // What an operator has announced is owed until it was read.
+                self.reread.finish();
+                // A SIGHUP counts until the configuration has been read.
                 if config.as_ref().is_err_and(|e| e.is_transient) {
                     self.reread_at = Some(now + REREAD_PAUSE);
                 }
@@ -315,29 +322,31 @@
         }
     }
 
-    fn saw(&mut self, view: View) -> Vec<Change> {
-        let bans = view.held_out.symmetric_difference(&self.view.held_out);
-        let bans = bans.map(|id| Change::Ban { id: id.clone(), out: view.held_out.contains(id) });
-        let mut changes: Vec<_> = bans.collect();
-        let (other, first) = (view.other != self.view.other, !std::mem::replace(&mut self.seen, true));
-        (self.view, self.seen_by) = (view, self.looks);
+    fn apply_view(&mut self, view: View) -> Vec<Change> {
+        let hold_outs = view.held_out.symmetric_difference(&self.view.held_out);
+        let hold_outs =
+            hold_outs.map(|id| Change::HoldOut { id: id.clone(), out: view.held_out.contains(id) });
+        let mut changes: Vec<_> = hold_outs.collect();
+        let (is_new, first) =
+            (view.other_process != self.view.other_process, !std::mem::replace(&mut self.is_scanned, true));
+        (self.view, self.view_scan) = (view, self.scans);
         if first {
-            changes.push(Change::Seen);
+            changes.push(Change::FirstScan);
         }
-        // After SIGTERM each look may be the one that shows a successor.
-        if other || first || self.fresh_from.is_some() {
-            changes.push(Change::Other { anew: other });
+        // After SIGTERM each scan may be the first that shows a successor, even if nothing else changed.
+        if is_new || first || self.first_leaving_scan.is_some() {
+            changes.push(Change::OtherProcess { is_new });
         }
         changes
     }
 
-    /// Twenty times a second the same line would help nobody.
+    /// Limits the rate: scans come 20 times a second, and a failing one would fill the log.
     fn complain(&mut self, now: Micros, what: &'static str, why: String) -> Option<Change> {
-        let due = now >= self.complain_at;
+        let due = now >= self.next_complaint;
         if due {
-            self.complain_at = now + COMPLAIN;
+            self.next_complaint = now + COMPLAINT_INTERVAL;
         }
-        due.then_some(Change::Complain { what, why })
+        due.then_some(Change::Warning { what, why })
     }
 }
 
