--- a/crates/gradeshunt/src/backend/pool.rs
+++ b/crates/gradeshunt/src/backend/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of idle connections to db hosts, and how connections are closed.
+//! The pool of idle connections to db hosts, and the closing of connections.
 
 use leadmast::permission::{may_reuse, PooledConnection, ReuseDenial};
 use leadmast::{MemberId, Micros};
@@ -6,12 +6,13 @@
 
 use super::connection::Stage;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::ServerId;
 use crate::turn::Turn;
 
 impl Backend {
-    /// The most recently used idle connection that may be used again; those that may not are closed.
+    /// Takes the most recently used idle connection that may be used again out of the pool, and closes those
+    /// that may not.
     pub(super) fn lease(&mut self, turn: &mut Turn, member: MemberId) -> Option<ServerId> {
         loop {
             let id = *self.hosts.get(&member)?.idle.last()?;
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Why an idle connection may not carry another request.
+    /// Why an idle connection may not be used for another request, or `None` if it may.
     pub(super) fn reuse_denial(&self, now: Micros, id: ServerId) -> Option<ReuseDenial> {
         let s = self.servers.get(&id)?;
         let host = self.hosts.get(&s.member)?;
@@ -38,7 +39,7 @@
         may_reuse(now, &pooled).err()
     }
 
-    /// Closes a connection; its job has been taken from it.
+    /// Closes a connection whose job has been taken.
     pub(super) fn close(&mut self, turn: &mut Turn, id: ServerId) {
         self.take_idle(turn, id);
         let Some(s) = self.servers.remove(&id) else { return };
@@ -47,27 +48,28 @@
             match s.stage {
                 Stage::Starting { by } => {
                     host.starting -= 1;
-                    turn.deadlines.clear(by, Due::Server(id));
+                    turn.deadlines.clear(by, DeadlineKind::Server(id));
                 }
-                Stage::Trailing { by } | Stage::Ending { by, .. } => {
-                    turn.deadlines.clear(by, Due::Server(id))
+                Stage::AwaitsReady { by } | Stage::AwaitsClose { by, .. } => {
+                    turn.deadlines.clear(by, DeadlineKind::Server(id))
                 }
-                Stage::Idle { .. } | Stage::Busy { .. } | Stage::Spent => {}
+                Stage::Idle { .. } | Stage::Busy { .. } | Stage::Resetting => {}
             }
         }
         match s.stage {
-            // A close would deliver what the system holds of a request that was given up, whenever its db host reads on.
-            Stage::Spent | Stage::Ending { .. } => s.polled.abort(turn),
+            // An ordinary close would still deliver the kernel's unsent bytes of an abandoned request once
+            // the db host reads again.
+            Stage::Resetting | Stage::AwaitsClose { .. } => s.polled.abort(turn),
             _ => s.polled.close(turn),
         }
-        self.forget_if_gone(s.member);
+        self.remove_if_gone(s.member);
     }
 
     /// Takes a connection out of the pool and resets it.
     pub(super) fn reset(&mut self, turn: &mut Turn, id: ServerId) {
         self.take_idle(turn, id);
         if let Some(server) = self.servers.get_mut(&id) {
-            server.stage = Stage::Spent;
+            server.stage = Stage::Resetting;
         }
         self.close(turn, id);
     }
@@ -76,7 +78,7 @@
     pub(super) fn take_idle(&mut self, turn: &mut Turn, id: ServerId) {
         let Some(s) = self.servers.get(&id) else { return };
         if let (Stage::Idle { until, .. }, Some(host)) = (&s.stage, self.hosts.get_mut(&s.member)) {
-            turn.deadlines.clear(*until, Due::Server(id));
+            turn.deadlines.clear(*until, DeadlineKind::Server(id));
             host.idle.retain(|i| *i != id);
         }
     }
@@ -86,15 +88,15 @@
         idle.into_iter().for_each(|id| self.close(turn, id));
     }
 
-    /// Makes room by closing the connection that has been idle longest; false where none is.
+    /// Closes the connection that has been idle longest; returns false if none is idle.
     pub fn close_oldest_idle(&mut self, turn: &mut Turn) -> bool {
         let idle = self.servers.iter().filter_map(|(id, s)| match s.stage {
             Stage::Idle { since, .. } => Some((since, *id)),
             Stage::Starting { .. }
             | Stage::Busy { .. }
-            | Stage::Spent
-            | Stage::Ending { .. }
-            | Stage::Trailing { .. } => None,
+            | Stage::Resetting
+            | Stage::AwaitsClose { .. }
+            | Stage::AwaitsReady { .. } => None,
         });
         let oldest = idle.min();
         oldest.into_iter().for_each(|(_, id)| self.close(turn, id));
--- a/crates/gradeshunt/src/exchange/tally.rs
+++ b/crates/gradeshunt/src/exchange/tally.rs
@@ -1,18 +1,18 @@
-//! What the summary in the log counts.
+//! Counters of the summary in the log.
 
 use std::collections::BTreeMap;
 
-use crate::figures::Count;
+use crate::figures::OutcomeCounts;
 
-/// What has come to pass since the last summary in the log.
+/// Counts since the last summary in the log.
 #[derive(Default)]
-pub(super) struct Tally {
+pub(super) struct SummaryCounts {
     pub(super) requests: u32,
-    pub(super) finals: Count,
-    pub(super) gone: u32,
+    pub(super) final_answers: OutcomeCounts,
+    pub(super) clients_gone: u32,
     pub(super) gone_unsent: u32,
     pub(super) sent_after_gone: u32,
-    /// Requests whose wait was over when their turn came.
+    /// Requests whose client's wait time ended while they were queued.
     pub(super) expired_unsent: u32,
     pub(super) endings: BTreeMap<&'static str, u32>,
 }
--- a/crates/gradeshunt/src/frontend/messages.rs
+++ b/crates/gradeshunt/src/frontend/messages.rs
@@ -1,4 +1,4 @@
-//! What clients send, worked off message by message.
+//! Processes the messages that clients send, one at a time.
 
 use std::hash::BuildHasher;
 use std::rc::Rc;
@@ -7,40 +7,41 @@
 
 use super::closing::CloseReason;
 use super::session::{Stage, MESSAGE_TIMEOUT};
-use super::statements::Step;
-use super::{Frontend, Owner, UNREAD_LIMIT};
+use super::statements::QueryOutcome;
+use super::{Frontend, RequestOwner, MAX_UNREAD_BYTES};
 use crate::exchange::Exchange;
 use crate::ids::SessionId;
 use crate::pg::{self, sqlstate, Malformed, Startup, Writer};
 use crate::routing::Origin;
-use crate::turn::{Source, Turn};
+use crate::turn::{EventSource, Turn};
 
-/// The process number by which a session's client names it in a cancel request.
-fn process_of(id: SessionId) -> u32 {
+/// The process ID (of BackendKeyData) that identifies a session in a cancel request.
+fn process_id(id: SessionId) -> u32 {
     id.0 as u32
 }
 
-/// Messages of one connection worked off in one turn.
+/// Maximum number of messages of one connection that are processed in one turn.
 const MESSAGES_PER_TURN: usize = 32;
 
 impl Frontend {
-    /// Works off what has come, as far as the answers before it are out, and writes.
-    pub(super) fn work(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: SessionId) {
+    /// Processes buffered messages until a request is in progress or too many answers are unread, then
+    /// writes.
+    pub(super) fn process_messages(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: SessionId) {
         for n in 0..=MESSAGES_PER_TURN {
             let Some(s) = self.sessions.get_mut(&id) else { return };
-            if s.ended {
+            if s.disconnected {
                 return self.abandon_session(turn, exchange, id);
             }
-            if s.outbound.len() > UNREAD_LIMIT {
+            if s.outbound.len() > MAX_UNREAD_BYTES {
                 break;
             }
             if n == MESSAGES_PER_TURN {
-                turn.again.push(Source::Session(id));
+                turn.unfinished.push(EventSource::Session(id));
                 break;
             }
             let step = match s.stage {
-                Stage::Startup => self.startup(turn, exchange, id),
-                Stage::Ready => self.message(turn, exchange, id),
+                Stage::Startup => self.process_startup(turn, exchange, id),
+                Stage::Ready => self.process_message(turn, exchange, id),
                 Stage::Waiting(_) | Stage::Closing | Stage::Lingering => break,
             };
             match step {
@@ -49,42 +50,45 @@
                 Err(Malformed(what)) => {
                     info!(turn.log, "client broke the protocol"; "session" => id.0, "what" => what);
                     let error = Writer::default().error("FATAL", sqlstate::PROTOCOL_VIOLATION, what, None);
-                    self.close_with(turn, id, error, CloseReason::Protocol);
+                    self.close_with(turn, id, error, CloseReason::ProtocolViolation);
                 }
             }
         }
         self.flush(turn, id);
         self.report_unread(exchange, id, 0);
-        self.await_rest(turn, id);
+        self.set_message_deadline(turn, id);
         self.close_if_draining(turn, id);
     }
 
-    /// Sets the deadline for the rest of a message that has begun; each has its own, however slowly it drips.
-    fn await_rest(&mut self, turn: &mut Turn, id: SessionId) {
+    /// Sets the deadline for the rest of an incomplete message. Each message has one deadline, which further
+    /// bytes do not extend.
+    fn set_message_deadline(&mut self, turn: &mut Turn, id: SessionId) {
         let Some(s) = self.sessions.get(&id) else { return };
         let part = match s.stage {
             Stage::Startup | Stage::Closing | Stage::Lingering => return,
-            Stage::Ready => s.inbound.first_arrived().filter(|_| s.outbound.len() <= UNREAD_LIMIT),
+            Stage::Ready => s.inbound.first_arrival().filter(|_| s.outbound.len() <= MAX_UNREAD_BYTES),
             Stage::Waiting(_) => None,
         };
-        // From its first byte, however long it then stood behind a request that was out.
+        // The time counts from the message's first byte, however long the message waited behind a request in
+        // progress.
         self.set_due(turn, id, part.map(|arrived| arrived + MESSAGE_TIMEOUT));
     }
 
-    fn startup(
+    /// Processes the startup packet, if it is complete. Returns whether to continue with the next message.
+    fn process_startup(
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
         id: SessionId,
     ) -> Result<bool, Malformed> {
         let Some(s) = self.sessions.get_mut(&id) else { return Ok(false) };
-        let Some((startup, size)) = pg::startup(s.inbound.bytes())? else { return Ok(false) };
+        let Some((startup, size)) = pg::parse_startup(s.inbound.bytes())? else { return Ok(false) };
         s.inbound.consume(size);
         let w = Writer::default();
         match startup {
-            // Neither TLS nor GSSAPI is served: the client may go on in plain text.
+            // Neither TLS nor GSSAPI is supported; the client may continue in plain text.
             Startup::Encryption => Ok(s.outbound.push(b"N")),
-            // It gets no answer in this protocol, whatever comes of it.
+            // The protocol has no answer to a cancel request, whether it succeeds or not.
             Startup::Cancel { process, secret } => {
                 self.cancel(turn, exchange, process, secret);
                 self.close_with(turn, id, w, CloseReason::CancelRequest);
@@ -93,7 +97,7 @@
             Startup::Unsupported => {
                 let error =
                     w.error("FATAL", sqlstate::FEATURE_NOT_SUPPORTED, "unsupported frontend protocol", None);
-                self.close_with(turn, id, error, CloseReason::Unsupported);
+                self.close_with(turn, id, error, CloseReason::UnsupportedProtocol);
                 Ok(false)
             }
             Startup::Session { minor, options, parameters } => {
@@ -101,70 +105,75 @@
                     parameters.iter().find(|p| p.0 == name).map(|p| p.1.clone()).unwrap_or_default()
                 };
                 let (user, database) = (named("user"), named("database"));
-                // PostgreSQL's rule.
+                // As in PostgreSQL, the database defaults to the user name.
                 let database = if database.is_empty() { user.clone() } else { database };
                 s.origin = Origin { user, database, application_name: named("application_name") };
                 if s.is_peer() && !self.admit_peer(turn, id) {
                     return Ok(false);
                 }
                 let Some(s) = self.sessions.get_mut(&id) else { return Ok(false) };
-                let w = if minor > 0 || !options.is_empty() { w.negotiate(&options) } else { w };
+                let w = if minor > 0 || !options.is_empty() { w.negotiate_version(&options) } else { w };
                 s.stage = Stage::Ready;
-                let fits =
-                    s.outbound.push(&w.startup_reply(process_of(id), self.secrets.hash_one(id) as u32).0);
+                let fits = s
+                    .outbound
+                    .push(&w.startup_reply(process_id(id), self.secret_hasher.hash_one(id) as u32).0);
                 self.set_due(turn, id, None);
                 Ok(fits)
             }
         }
     }
 
-    /// Cancels the request of the session that was told this process number and this secret, if one is out.
+    /// Cancels the request in progress of the session that was given this process ID and secret key, if there
+    /// is one.
     fn cancel(&mut self, turn: &mut Turn, exchange: &mut Exchange, process: u32, secret: u32) {
-        let is_it =
-            |id: &SessionId| process_of(*id) == process && self.secrets.hash_one(*id) as u32 == secret;
-        let session = self.sessions.iter().find(|(id, _)| is_it(id)).map(|(_, s)| &s.stage);
+        let has_key =
+            |id: &SessionId| process_id(*id) == process && self.secret_hasher.hash_one(*id) as u32 == secret;
+        let session = self.sessions.iter().find(|(id, _)| has_key(id)).map(|(_, s)| &s.stage);
         if let Some(Stage::Waiting(request)) = session {
             exchange.cancel(turn, *request);
         }
     }
 
-    fn message(
+    /// Processes the next message, if it is complete. Returns whether to continue with the one after it.
+    fn process_message(
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
         id: SessionId,
     ) -> Result<bool, Malformed> {
         let Some(s) = self.sessions.get_mut(&id) else { return Ok(false) };
-        let Some(message) = pg::message(s.inbound.bytes(), pg::FRONTEND)? else { return Ok(false) };
+        let Some(message) = pg::parse_message(s.inbound.bytes(), pg::FRONTEND_MESSAGE_TYPES)? else {
+            return Ok(false);
+        };
         let (tag, size) = (message.tag, message.size);
-        let text = if tag == b'Q' { pg::string(message.body)?.to_vec() } else { Vec::new() };
+        let text = if tag == b'Q' { pg::parse_string(message.body)?.to_vec() } else { Vec::new() };
         let arrived = s.inbound.consume(size).unwrap_or(turn.now);
-        s.since = turn.now;
-        s.asked |= tag == b'Q';
-        let skipping = s.skipping;
+        s.last_active = turn.now;
+        s.has_sent_query |= tag == b'Q';
+        let skipping = s.skips_until_sync;
         let w = Writer::default();
         let reply = match tag {
-            // Its last answer may not be written whole yet.
+            // Terminate while the last answer is not completely written: the session closes once it is.
             b'X' if !s.outbound.is_empty() => {
-                self.close_with(turn, id, w, CloseReason::Goodbye);
+                self.close_with(turn, id, w, CloseReason::Terminate);
                 return Ok(false);
             }
             b'X' => {
-                s.ended = true;
+                s.disconnected = true;
                 return Ok(true);
             }
             b'S' => {
-                s.skipping = false;
+                s.skips_until_sync = false;
                 w.ready()
             }
             _ if skipping => return Ok(true),
-            b'Q' => match self.query(turn, id, text, arrived) {
-                Ok(Step::Reply(w)) => w,
-                Ok(Step::Call(call, name)) => {
+            b'Q' => match self.process_query(turn, id, text, arrived) {
+                Ok(QueryOutcome::Reply(w)) => w,
+                Ok(QueryOutcome::Request(call, name)) => {
                     let request = exchange.submit(turn, *call);
                     debug!(turn.log, "request taken"; "session" => id.0, "id" => &*name, "request" => request.0);
-                    self.ids.insert(Rc::clone(&name));
-                    self.owners.insert(request, Owner { session: id, id: name });
+                    self.open_ids.insert(Rc::clone(&name));
+                    self.owners.insert(request, RequestOwner { session: id, id: name });
                     if let Some(s) = self.sessions.get_mut(&id) {
                         s.stage = Stage::Waiting(request);
                     }
@@ -173,13 +182,13 @@
                 Err(what) => w.error("ERROR", sqlstate::INVALID_PARAMETER, &what, None).ready(),
             },
             b'P' | b'B' | b'D' | b'E' | b'C' | b'H' => {
-                s.skipping = tag != b'H';
+                s.skips_until_sync = tag != b'H';
                 w.error("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, "only simple queries are supported", None)
             }
             b'F' => w
                 .error("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, "function calls are not supported", None)
                 .ready(),
-            // Copy data that comes late is passed over, as PostgreSQL does.
+            // Copy messages outside a copy are ignored, as PostgreSQL does.
             b'd' | b'c' | b'f' => return Ok(true),
             _ => return Err(Malformed("invalid frontend message type")),
         };
--- a/crates/gradeshunt/src/frontend/statements.rs
+++ b/crates/gradeshunt/src/frontend/statements.rs
@@ -1,4 +1,4 @@
-//! Statements become requests: by their routing comment, or by the rules that operators give.
+//! Turns statements into requests, by their routing comment or by the operators' rules.
 
 use std::rc::Rc;
 
@@ -7,150 +7,174 @@
 use leadmast::{Effect, GroupId, Micros, ReadLevel};
 use slog::debug;
 
-use super::{Frontend, Service};
-use crate::exchange::{Body, Call, Form};
+use super::{Frontend, ServiceState};
+use crate::exchange::{AnswerForm, Body, IncomingRequest};
 use crate::ids::SessionId;
 use crate::pg::{self, sqlstate, Writer};
-use crate::routing::{Decision, Routed};
+use crate::routing::{Decision, Destination};
 use crate::turn::Turn;
 
-/// What a query comes to.
-pub(super) enum Step {
+/// How a query is handled.
+pub(super) enum QueryOutcome {
+    /// The proxy answers the query itself.
     Reply(Writer),
-    /// A request, and its id.
-    Call(Box<Call>, Rc<str>),
+    /// The query becomes a request with this id.
+    Request(Box<IncomingRequest>, Rc<str>),
 }
 
 impl Frontend {
-    /// Works off a statement whose last byte arrived at `arrived`.
-    pub(super) fn query(
+    /// Processes a statement whose last byte arrived at `arrived`.
+    pub(super) fn process_query(
         &mut self,
         turn: &Turn,
         session: SessionId,
         text: Vec<u8>,
         arrived: Micros,
-    ) -> Result<Step, String> {
+    ) -> Result<QueryOutcome, String> {
         let w = Writer::default();
         let statement = std::str::from_utf8(&text).map_err(|_| "the statement is not UTF-8")?;
-        let words = statement.trim().trim_end_matches(';').trim();
-        let unable = match self.service {
+        let trimmed = statement.trim().trim_end_matches(';').trim();
+        let unavailable = match self.service {
             _ if !self.has_hosts => Some("no db host is known yet"),
-            Service::Running | Service::Closing => None,
-            Service::Standby => Some("the proxy is in standby"),
+            ServiceState::Running | ServiceState::Closing => None,
+            ServiceState::Standby => Some("the proxy is in standby"),
         };
-        if let (true, Some(why)) = (words.is_empty(), unable) {
+        if let (true, Some(why)) = (trimmed.is_empty(), unavailable) {
             let error = w.error("ERROR", sqlstate::CANNOT_CONNECT_NOW, why, None);
-            return Ok(Step::Reply(error.ready()));
+            return Ok(QueryOutcome::Reply(error.ready()));
         }
-        if words.is_empty() {
-            return Ok(Step::Reply(w.message(b'I', &[]).ready()));
+        if trimmed.is_empty() {
+            return Ok(QueryOutcome::Reply(w.message(b'I', &[]).ready()));
         }
-        let verb = words.split_whitespace().next().unwrap_or("").to_ascii_uppercase();
-        // Sessions have no state of their own here, so there is nothing to set and nothing to discard.
+        let verb = trimmed.split_whitespace().next().unwrap_or("").to_ascii_uppercase();
+        // The proxy keeps no session state, so there is nothing to set and nothing to discard.
         if matches!(verb.as_str(), "SET" | "RESET" | "DISCARD") {
-            return Ok(Step::Reply(w.message(b'C', &[verb.as_bytes(), b"\0"]).ready()));
+            return Ok(QueryOutcome::Reply(w.message(b'C', &[verb.as_bytes(), b"\0"]).ready()));
         }
         let source = self.sessions.get(&session).map_or(Source::Client, |s| s.source);
-        let c = match pg::comment(statement) {
-            // Another proxy sends on what has a comment alone: its session is elsewhere.
+        let c = match pg::parse_routing_comment(statement) {
+            // Other proxies forward only statements with a routing comment, since a plain statement depends
+            // on its session, which the forwarding proxy holds.
             Err(_) if self.router.is_some() && source == Source::Client => {
-                return self.plain(turn, session, text, arrived)
+                return self.route_plain(turn, session, text, arrived)
             }
             c => c?,
         };
         let mut class = self.names.class(c.class).ok_or_else(|| format!("unknown class {:?}", c.class))?;
         let mut group = GroupId(c.cluster);
         if let (Some(router), Some(s)) = (&mut self.router, self.sessions.get_mut(&session)) {
-            if let Some(decision) = router.contradicts(&self.settings, &s.origin, statement, class) {
+            if let Some(decision) = router.override_class(&self.settings, &s.origin, statement, class) {
                 match route_or_reply(decision) {
                     Ok(r) => (class, group) = (r.class, r.group),
-                    Err(reply) => return Ok(Step::Reply(reply)),
+                    Err(reply) => return Ok(QueryOutcome::Reply(reply)),
                 }
             }
         }
         let (read, effect) = (self.settings.classes[class.0].read, self.settings.classes[class.0].effect);
-        // Another client waits for the answer that this id has: nobody may be served with it instead.
-        if self.ids.contains(c.id) {
+        // Another client waits for the answer of this id and must not be mixed up with this one.
+        if self.open_ids.contains(c.id) {
             return Err("the id is that of an open request".to_owned());
         }
-        if matches!(effect, Effect::Keyed { .. }) && !c.keyed {
+        if matches!(effect, Effect::Keyed { .. }) && !c.has_key {
             return Err(format!("a request of class {:?} needs a key k", c.class));
         }
         let key = matches!(read, ReadLevel::Session | ReadLevel::Write).then(|| pg::first_literal(statement));
         let key = key.flatten().map(|k| u64::from_str_radix(k, 16).unwrap_or_else(|_| fnv(k)));
         let after = c.after.filter(|_| read == ReadLevel::Session);
-        // Never below one: a commit of just now is still a commit.
+        // At least one, so that a commit of this very moment still counts.
         let since_write = after.map(|ms| (turn.now - turn.clock.latest_at_unix_ms(ms as f64)).max(1));
-        // No client of a class waits longer than its class does, whatever it says.
+        // The class's deadline bounds the wait that the client asks for.
         let wait = (Micros::from(c.wait_ms) * 1000).min(self.settings.classes[class.0].deadline);
         let deadline = self.deadline(arrived, wait);
         let id = Rc::from(c.id);
-        let (repeat, wait_at) = (c.repeat, c.wait_at);
+        let (repeat, wait_at) = (c.repeat, c.wait_span);
         let tenant = c.tenant.and_then(|t| self.names.tenant(t));
         debug!(turn.log, "request"; "class" => class.0, "wait_ms" => c.wait_ms);
-        let body = Body::new(text, Some(wait_at), Form::Value);
+        let body = Body::new(text, Some(wait_at), AnswerForm::Value);
         let checked = true;
-        let call = Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body };
-        Ok(Step::Call(Box::new(call), id))
+        let call = IncomingRequest {
+            class,
+            group,
+            key,
+            deadline,
+            since_write,
+            repeat,
+            checked,
+            tenant,
+            source,
+            body,
+        };
+        Ok(QueryOutcome::Request(Box::new(call), id))
     }
 
-    /// A statement without a routing comment goes where the operators' rules say. The connection is its session: what
-    /// it has written it sees.
-    fn plain(
+    /// Routes a statement without a routing comment by the operators' rules. The connection is the session:
+    /// its reads see its own writes.
+    fn route_plain(
         &mut self,
         turn: &Turn,
         session: SessionId,
         text: Vec<u8>,
         arrived: Micros,
-    ) -> Result<Step, String> {
+    ) -> Result<QueryOutcome, String> {
         let statement = std::str::from_utf8(&text).map_err(|_| "the statement is not UTF-8")?;
         let (Some(router), Some(s)) = (&mut self.router, self.sessions.get_mut(&session)) else {
             return Err("the statement has no routing comment".to_owned());
         };
-        let routed = match route_or_reply(router.decide(&self.settings, &s.origin, statement)) {
-            Ok(routed) => routed,
-            Err(reply) => return Ok(Step::Reply(reply)),
+        let destination = match route_or_reply(router.decide(&self.settings, &s.origin, statement)) {
+            Ok(destination) => destination,
+            Err(reply) => return Ok(QueryOutcome::Reply(reply)),
         };
-        let Routed { class, group, wait, comment, writes } = routed;
-        self.plain += 1;
-        s.writing = writes;
+        let Destination { class, group, wait, comment, writes } = destination;
+        self.plain_statements += 1;
+        s.may_write = writes;
         let session_reads = self.settings.classes[class.0].read == ReadLevel::Session;
-        let since_write = s.wrote.filter(|_| session_reads).map(|at| (turn.now - at).max(1));
-        let id: Rc<str> = format!("plain-{:x}-{:x}", session.0, self.plain).into();
+        let since_write = s.last_write.filter(|_| session_reads).map(|at| (turn.now - at).max(1));
+        let id: Rc<str> = format!("plain-{:x}-{:x}", session.0, self.plain_statements).into();
         let body = if comment {
             let mut body = format!("/* id={id},c={},d=", self.names.classes[class.0]);
             let at = body.len()..body.len();
             body += &format!(",cluster={} */ {statement}", group.0);
-            Body::new(body.into_bytes(), Some(at), Form::Result)
+            Body::new(body.into_bytes(), Some(at), AnswerForm::Result)
         } else {
-            Body::new(text, None, Form::Result)
+            Body::new(text, None, AnswerForm::Result)
         };
         let key = Some(fnv(&format!("session {}", session.0)));
         let deadline = self.deadline(arrived, wait);
         let (tenant, source) = (None, Source::Client);
         let (repeat, checked) = (false, false);
-        let call = Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body };
-        Ok(Step::Call(Box::new(call), id))
+        let call = IncomingRequest {
+            class,
+            group,
+            key,
+            deadline,
+            since_write,
+            repeat,
+            checked,
+            tenant,
+            source,
+            body,
+        };
+        Ok(QueryOutcome::Request(Box::new(call), id))
     }
 
-    /// When the wait of a request is over whose last byte arrived at `arrived`. It counts from then, however long the
-    /// request stood behind others, and not from when its turn came.
+    /// Returns the deadline of a request whose last byte arrived at `arrived`. The wait counts from that
+    /// arrival, however long the request then queued behind others.
     fn deadline(&self, arrived: Micros, wait: Micros) -> Micros {
         (arrived + wait).min(self.drain_deadline.unwrap_or(Micros::MAX))
     }
 }
 
-/// Where a plain statement goes, or what its client is told instead.
-fn route_or_reply(decision: Decision) -> Result<Routed, Writer> {
+/// Returns the route of a plain statement, or the reply to the client if the statement is not sent anywhere.
+fn route_or_reply(decision: Decision) -> Result<Destination, Writer> {
     let w = Writer::default();
     let unsupported = |what: &str| w.error("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, what, None).ready();
     Err(match decision {
-        Decision::Send(routed) => return Ok(routed),
+        Decision::Send(destination) => return Ok(destination),
         Decision::Empty => Writer::default().message(b'I', &[]).ready(),
-        Decision::Session { verb } => {
+        Decision::SessionState { verb } => {
             unsupported(&format!("{verb} is not supported: the proxy keeps no state of a session"))
         }
-        Decision::Several => unsupported("several statements in one query are not supported"),
+        Decision::MultipleStatements => unsupported("several statements in one query are not supported"),
         Decision::NoRoute { access } => {
             let what = format!("no route is given for a {} of this kind", access.name());
             Writer::default().error("ERROR", sqlstate::NO_ROUTE, &what, None).ready()
--- a/crates/gradeshunt/src/run.rs
+++ b/crates/gradeshunt/src/run.rs
@@ -1,4 +1,4 @@
-//! The program from its arguments to its end: the signals, the loop.
+//! Runs the program from its arguments to its end: signals and the event loop.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,56 +9,58 @@
 
 use crate::cli::{self, Arguments, Command, LogFormat, LogLevel};
 use crate::config::Config;
-use crate::cycle::Cycle;
-use crate::logging::{Log, LAST};
+use crate::cycle::ProxyLoop;
+use crate::logging::{Log, LAST_LINE};
 use crate::placement_command;
 use crate::planning;
 use crate::proxy::Proxy;
-use crate::resumed::Resumed;
+use crate::resumed::RetryInterrupted;
 use crate::transient::retry_while_transient;
-use crate::turn::{Ready, Source};
+use crate::turn::{EventSource, ReadySources};
 
-/// The status of `gradeshunt plan` where a loss is not borne.
+/// Exit status of `gradeshunt plan` if a loss is not borne.
 const NOT_BORNE: u8 = 3;
 
-/// Turns of the loop until the proxy is done; gives until when the process may wait for its log.
-fn turns(mut cycle: Cycle, mut proxy: Proxy) -> Result<Instant, String> {
+/// Runs the loop until the proxy is done; returns the time until which the process may wait for its log.
+fn run_loop(mut cycle: ProxyLoop, mut proxy: Proxy) -> Result<Instant, String> {
     while !proxy.is_done() {
-        let wait = Cycle::wait(&proxy.core);
-        cycle.turn(&mut proxy, wait)?;
-        if let Some(why) = proxy.failed.take() {
+        let wait = ProxyLoop::wait(&proxy.core);
+        cycle.run_turn(&mut proxy, wait)?;
+        if let Some(why) = proxy.fatal_error.take() {
             return Err(why);
         }
     }
-    info!(proxy.core.turn.log, #LAST, "leaving");
+    info!(proxy.core.turn.log, #LAST_LINE, "leaving");
     Ok(Instant::now() + proxy.time_left())
 }
 
 fn serve(file: Option<PathBuf>, format: LogFormat, level: LogLevel) -> Result<(), String> {
-    // Before anything that takes time, for until then a signal's default ends the process; and before any thread starts, so that
-    // it inherits the mask: only the loop hears of signals.
+    // Signals are taken over before anything that takes time, because until then their default action ends
+    // the process, and before any thread starts, so that threads inherit the mask and only the loop receives
+    // signals.
     let signals = retry_while_transient(|| Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGHUP])?));
     let signals = signals.map_err(|e| format!("cannot take signals: {e}"))?;
     let config = Config::load(file.as_deref())?;
-    let cycle = Cycle::open()?;
+    let cycle = ProxyLoop::open()?;
     let handle = cycle.event_loop().handle();
-    let told = handle.insert_source(Resumed(signals), move |event, (), ready: &mut Ready| {
-        let reload = event.signal() == Signal::SIGHUP;
-        ready.push(if reload { Source::Reload } else { Source::Terminate });
-    });
-    told.map_err(|e| format!("cannot take signals: {e}"))?;
+    let registered =
+        handle.insert_source(RetryInterrupted(signals), move |event, (), ready: &mut ReadySources| {
+            let reload = event.signal() == Signal::SIGHUP;
+            ready.push(if reload { EventSource::Reload } else { EventSource::Terminate });
+        });
+    registered.map_err(|e| format!("cannot take signals: {e}"))?;
     let log = Log::open(format, level, &config.name);
     let proxy = Proxy::new(config, file, cycle.event_loop(), log.logger.clone())?;
-    let end_by = turns(cycle, proxy)?;
-    log.end(end_by);
+    let end_by = run_loop(cycle, proxy)?;
+    log.wait_for_last_line(end_by);
     Ok(())
 }
 
-/// Does what the command line asks for; serving ends when the process is told to leave.
+/// Carries out the command line; when serving, returns when the process is told to leave.
 ///
 /// # Errors
 ///
-/// What the user is to be told: a configuration that can't be used, an address that can't be listened at.
+/// A message for the user, such as an invalid configuration or an address that can't be listened at.
 pub fn run(arguments: Arguments) -> Result<ExitCode, String> {
     match arguments.command {
         None => serve(None, arguments.log_format, arguments.log_level)?,
@@ -67,7 +69,7 @@
         Some(Command::Classify { rules, format, null, sql }) => cli::classify(rules, format, null, sql)?,
         Some(Command::Plan(options)) if !planning::plan(&options)? => return Ok(ExitCode::from(NOT_BORNE)),
         Some(Command::Plan(_)) => {}
-        Some(Command::Placement(options)) => placement_command::place(&options)?,
+        Some(Command::Placement(options)) => placement_command::print_groups(&options)?,
     }
     Ok(ExitCode::SUCCESS)
 }
