--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -25,14 +25,14 @@
 /// unreachable. Most attempts end before the whole time-out, and each that reports nothing is followed by
 /// another to the same host.
 #[test]
-fn attempt_that_waited_in_vain_for_a_connection_tells_of_it() {
+fn attempt_that_waited_half_the_connect_timeout_reports_a_failed_connect() {
     assert_eq!(unsent_ending(Ending::Timeout, 125_000, 250_000), Ending::ConnectFailed);
     assert_eq!(unsent_ending(Ending::Timeout, 124_999, 250_000), Ending::Moot);
     assert_eq!(unsent_ending(Ending::Cancelled, 250_000, 250_000), Ending::Moot);
 }
 
 /// A backend with one db host played by the test, and a clock set by the test.
-struct Play {
+struct Fixture {
     backend: Backend,
     exchange: Exchange,
     turn: Turn,
@@ -86,13 +86,13 @@
     }
 }
 
-impl Play {
-    fn open() -> Play {
-        Play::open_with(|_| {})
+impl Fixture {
+    fn open() -> Fixture {
+        Fixture::open_with(|_| {})
     }
 
     /// Like `open`, with `edit` applied to the configuration.
-    fn open_with(edit: impl Fn(&mut serde_json::Value)) -> Play {
+    fn open_with(edit: impl Fn(&mut serde_json::Value)) -> Fixture {
         let poll = calloop::EventLoop::<Ready>::try_new().expect("cannot create an event loop");
         let mut turn = Turn::new(poll.handle(), slog::Logger::root(slog::Discard, slog::o!()));
         turn.now = 0;
@@ -110,7 +110,7 @@
         let addr = host.local_addr().expect("no local address");
         let listed = Listed { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
         backend.apply_list(&mut turn, &mut exchange, ListKind::Full, &[listed]);
-        Play { backend, exchange, turn, host, _poll: poll }
+        Fixture { backend, exchange, turn, host, _poll: poll }
     }
 
     /// Lets the backend handle what has arrived until `done` holds.
@@ -139,14 +139,14 @@
 
     /// Starts an attempt of a request with a long wait on a pooled connection. The db host has read it and
     /// does not answer.
-    fn attempt_out(&mut self) -> (TcpStream, AttemptId) {
+    fn start_attempt(&mut self) -> (TcpStream, AttemptId) {
         let mut server = self.pool_connection();
-        let attempt = self.attempt_out_on(&mut server);
+        let attempt = self.start_attempt_on(&mut server);
         (server, attempt)
     }
 
-    /// Like `attempt_out`, on this pooled connection.
-    fn attempt_out_on(&mut self, server: &mut TcpStream) -> AttemptId {
+    /// Like `start_attempt`, on this pooled connection.
+    fn start_attempt_on(&mut self, server: &mut TcpStream) -> AttemptId {
         let group = GroupId(0);
         self.exchange.update_members(&mut self.turn, ListKind::Full, vec![entry(group, true)]);
         self.exchange.submit(&mut self.turn, call(ClassId(0), group));
@@ -177,90 +177,90 @@
 /// It must not be used then, since its db host may already have closed it.
 #[test]
 fn pooled_connection_that_has_expired_is_not_leased() {
-    let mut play = Play::open();
-    let _server = play.pool_connection();
-    let id = play.backend.hosts[&MEMBER].idle[0];
-    let Stage::Idle { until, .. } = play.backend.servers[&id].stage else {
+    let mut fixture = Fixture::open();
+    let _server = fixture.pool_connection();
+    let id = fixture.backend.hosts[&MEMBER].idle[0];
+    let Stage::Idle { until, .. } = fixture.backend.servers[&id].stage else {
         panic!("the connection is not idle")
     };
-    play.turn.now = until - 1;
-    assert_eq!(play.backend.reuse_denial(play.turn.now, id), None);
-    play.turn.now = until;
-    assert_eq!(play.backend.lease(&mut play.turn, MEMBER), None);
-    assert!(play.backend.servers.is_empty(), "the connection is still open");
+    fixture.turn.now = until - 1;
+    assert_eq!(fixture.backend.reuse_denial(fixture.turn.now, id), None);
+    fixture.turn.now = until;
+    assert_eq!(fixture.backend.lease(&mut fixture.turn, MEMBER), None);
+    assert!(fixture.backend.servers.is_empty(), "the connection is still open");
 }
 
 /// Once a db host is listed at another address, a connection to the former one must not be used again.
 #[test]
 fn pooled_connection_to_a_former_address_is_not_leased() {
-    let mut play = Play::open();
-    let mut server = play.pool_connection();
+    let mut fixture = Fixture::open();
+    let mut server = fixture.pool_connection();
     let moved = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
     let addr = moved.local_addr().expect("no local address");
     // A job is out on the connection, so that the change of address does not close it.
-    play.backend.execute(&mut play.turn, &mut play.exchange, BackendCommand::Probe(MEMBER));
+    fixture.backend.execute(&mut fixture.turn, &mut fixture.exchange, BackendCommand::Probe(MEMBER));
     let listed = Listed { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
-    play.backend.apply_list(&mut play.turn, &mut play.exchange, ListKind::Full, &[listed]);
-    assert_eq!(play.backend.servers.len(), 1);
+    fixture.backend.apply_list(&mut fixture.turn, &mut fixture.exchange, ListKind::Full, &[listed]);
+    assert_eq!(fixture.backend.servers.len(), 1);
     server.write_all(&[empty_query_answer(), report()].concat()).expect("the connection is closed");
-    play.until(|backend| backend.probes.is_empty());
-    assert_eq!(play.backend.lease(&mut play.turn, MEMBER), None);
-    assert!(play.backend.servers.is_empty(), "the connection is still open");
+    fixture.until(|backend| backend.probes.is_empty());
+    assert_eq!(fixture.backend.lease(&mut fixture.turn, MEMBER), None);
+    assert!(fixture.backend.servers.is_empty(), "the connection is still open");
 }
 
 /// In a long turn, the time for ReadyForQuery may pass while ReadyForQuery has arrived but is unread. The
 /// connection must be closed after an error, or the db host would see two attempts at once.
 #[test]
-fn error_whose_ready_for_query_stands_unread_leaves_no_connection_open() {
+fn error_with_unread_ready_for_query_closes_its_connection() {
     const PATIENCE: Micros = 60_000_000;
-    let mut play = Play::open();
-    let mut server = play.pool_connection();
+    let mut fixture = Fixture::open();
+    let mut server = fixture.pool_connection();
     let attempt = AttemptId { request: RequestId(1), number: 0 };
     let body = Rc::new(Body::new(b"SELECT 1".to_vec(), None, AnswerForm::Value));
-    let until = play.turn.clock.now() + PATIENCE;
+    let until = fixture.turn.clock.now() + PATIENCE;
     let command = BackendCommand::Start { attempt, member: MEMBER, body, until, write_by: until };
-    play.backend.execute(&mut play.turn, &mut play.exchange, command);
+    fixture.backend.execute(&mut fixture.turn, &mut fixture.exchange, command);
     let error = Writer::default().message(b'E', &[b"SERROR\0CXX000\0Mbroken\0\0"]).0;
     server.write_all(&[empty_query_answer(), error].concat()).expect("the connection is closed");
     let awaits_ready = |s: &HostConnection| matches!(s.stage, Stage::Busy { ready_by: Some(_), .. });
-    play.until(|backend| backend.servers.values().any(awaits_ready));
+    fixture.until(|backend| backend.servers.values().any(awaits_ready));
     server.write_all(&Writer::default().ready().0).expect("the connection is closed");
-    while play.backend.servers.values().all(|s| s.polled.is_quiet()) {}
-    play.turn.now += PATIENCE / 2;
-    while let Some(due) = play.turn.deadlines.pop(play.turn.now) {
+    while fixture.backend.servers.values().all(|s| s.polled.is_quiet()) {}
+    fixture.turn.now += PATIENCE / 2;
+    while let Some(due) = fixture.turn.deadlines.pop(fixture.turn.now) {
         if let Due::Server(id) = due {
-            play.backend.server_due(&mut play.turn, &mut play.exchange, id);
+            fixture.backend.server_due(&mut fixture.turn, &mut fixture.exchange, id);
         }
     }
-    assert!(play.backend.attempts.is_empty(), "the attempt has not ended");
-    assert!(play.backend.servers.is_empty(), "the connection is still open");
+    assert!(fixture.backend.attempts.is_empty(), "the attempt has not ended");
+    assert!(fixture.backend.servers.is_empty(), "the connection is still open");
 }
 
 /// A db host may notice the end of an attempt's connection after it has read another connection's bytes. The
 /// attempt must count as out until the db host has closed that connection, or two attempts could be out at
 /// once.
 #[test]
-fn attempt_that_was_given_up_is_out_until_its_db_host_has_ended_its_connection() {
-    let mut play = Play::open();
-    let (mut server, attempt) = play.attempt_out();
-    play.backend.give_up(&mut play.turn, &mut play.exchange, attempt, Ending::Timeout);
+fn abandoned_attempt_is_out_until_its_db_host_closes_the_connection() {
+    let mut fixture = Fixture::open();
+    let (mut server, attempt) = fixture.start_attempt();
+    fixture.backend.give_up(&mut fixture.turn, &mut fixture.exchange, attempt, Ending::Timeout);
     assert_eq!(server.read(&mut [0]).expect("the connection was reset instead of closed"), 0);
-    play.pass(HOST_END_TIMEOUT - 1);
-    assert!(play.backend.attempts.contains_key(&attempt), "the attempt ended before its connection");
+    fixture.pass(HOST_END_TIMEOUT - 1);
+    assert!(fixture.backend.attempts.contains_key(&attempt), "the attempt ended before its connection");
     drop(server);
-    play.until(|backend| backend.servers.is_empty());
-    assert!(play.backend.attempts.is_empty(), "the connection has ended, but the attempt counts as out");
+    fixture.until(|backend| backend.servers.is_empty());
+    assert!(fixture.backend.attempts.is_empty(), "the connection has ended, but the attempt counts as out");
 }
 
 /// A hung db host never closes the connection of an attempt that was given up. The attempt must end
 /// nevertheless, so that it can be repeated elsewhere, and its connection must be reset.
 #[test]
-fn attempt_that_was_given_up_at_a_silent_db_host_ends_with_a_reset() {
-    let mut play = Play::open();
-    let (mut server, attempt) = play.attempt_out();
-    play.backend.give_up(&mut play.turn, &mut play.exchange, attempt, Ending::Timeout);
-    play.pass(HOST_END_TIMEOUT);
-    assert!(play.backend.attempts.is_empty() && play.backend.servers.is_empty());
+fn abandoned_attempt_at_a_silent_db_host_ends_with_a_reset() {
+    let mut fixture = Fixture::open();
+    let (mut server, attempt) = fixture.start_attempt();
+    fixture.backend.give_up(&mut fixture.turn, &mut fixture.exchange, attempt, Ending::Timeout);
+    fixture.pass(HOST_END_TIMEOUT);
+    assert!(fixture.backend.attempts.is_empty() && fixture.backend.servers.is_empty());
     assert_eq!(server.read(&mut [0]).expect("the connection is not closed"), 0);
     let answer = Writer::default().ready().0;
     while server.write_all(&answer).is_ok() {}
--- a/crates/gradeshunt/src/backend/tests/late_connections.rs
+++ b/crates/gradeshunt/src/backend/tests/late_connections.rs
@@ -5,7 +5,7 @@
 
 use leadmast::{ClassId, Ending, GroupId, ListKind, Micros, Probed, Report};
 
-use super::{call, entry, Play, MEMBER};
+use super::{call, entry, Fixture, MEMBER};
 use crate::exchange::BackendCommand;
 use crate::pg::Writer;
 
@@ -13,19 +13,19 @@
 const BOUND: Micros = 200_000;
 const GROUP: GroupId = GroupId(0);
 
-impl Play {
+impl Fixture {
     /// The only replica of a set reports its position, and a read with a bound on the age of its data is
     /// assigned to it. The connection for the read is established this much later.
-    fn read_on_a_connection_that_is_late_by(&mut self, late: Micros) {
+    fn read_on_connection_delayed_by(&mut self, late: Micros) {
         self.exchange.update_members(&mut self.turn, ListKind::Full, vec![entry(GROUP, false)]);
-        self.tell_role(false);
+        self.report_role(false);
         let server = self.connect_for_a_read();
         self.turn.now += late;
-        self.come_up(server);
+        self.complete_startup(server);
     }
 
     /// The db host reports its role and its position.
-    fn tell_role(&mut self, primary: bool) {
+    fn report_role(&mut self, primary: bool) {
         let report = Report { position: Some(self.turn.now), primary: Some(primary), ..Report::default() };
         let probed = Probed { member: MEMBER, ending: Ending::Ok, elapsed: 0, report: Some(report) };
         self.exchange.probe_ended(&mut self.turn, probed);
@@ -42,7 +42,7 @@
         self.host.accept().expect("no connection arrived").0
     }
 
-    fn come_up(&mut self, mut server: TcpStream) {
+    fn complete_startup(&mut self, mut server: TcpStream) {
         server
             .write_all(&Writer::default().message(b'R', &[&[0; 4]]).ready().0)
             .expect("the connection is closed");
@@ -61,30 +61,30 @@
 /// A read must not be written to a replica whose data became too old while the connection was being opened.
 #[test]
 fn read_whose_replica_is_too_far_behind_once_its_connection_is_up_is_not_written() {
-    let mut play = Play::open();
-    play.read_on_a_connection_that_is_late_by(BOUND + 1);
-    assert_eq!((play.is_written(), play.denied_as_too_old()), (false, Some(1)));
+    let mut fixture = Fixture::open();
+    fixture.read_on_connection_delayed_by(BOUND + 1);
+    assert_eq!((fixture.is_written(), fixture.denied_as_too_old()), (false, Some(1)));
 }
 
 /// A read must be written if its replica is still recent enough once the connection is established.
 #[test]
 fn read_whose_replica_is_recent_enough_once_its_connection_is_up_is_written() {
-    let mut play = Play::open();
-    play.read_on_a_connection_that_is_late_by(BOUND);
-    assert_eq!((play.is_written(), play.denied_as_too_old()), (true, None));
+    let mut fixture = Fixture::open();
+    fixture.read_on_connection_delayed_by(BOUND);
+    assert_eq!((fixture.is_written(), fixture.denied_as_too_old()), (true, None));
 }
 
 /// A read that only the primary may serve must not be written to a db host that reported, while the
 /// connection was being opened, that it is no longer the primary.
 #[test]
 fn read_whose_db_host_is_no_primary_once_its_connection_is_up_is_not_written() {
-    let mut play =
-        Play::open_with(|config| config["settings"]["familyInfo"]["readLevel"][0] = "strong".into());
-    play.exchange.update_members(&mut play.turn, ListKind::Full, vec![entry(GROUP, true)]);
-    play.tell_role(true);
-    let server = play.connect_for_a_read();
-    play.turn.now += BOUND;
-    play.tell_role(false);
-    play.come_up(server);
-    assert_eq!((play.is_written(), play.denied_as_too_old()), (false, Some(1)));
+    let mut fixture =
+        Fixture::open_with(|config| config["settings"]["familyInfo"]["readLevel"][0] = "strong".into());
+    fixture.exchange.update_members(&mut fixture.turn, ListKind::Full, vec![entry(GROUP, true)]);
+    fixture.report_role(true);
+    let server = fixture.connect_for_a_read();
+    fixture.turn.now += BOUND;
+    fixture.report_role(false);
+    fixture.complete_startup(server);
+    assert_eq!((fixture.is_written(), fixture.denied_as_too_old()), (false, Some(1)));
 }
--- a/crates/gradeshunt/src/backend/tests/written_attempts.rs
+++ b/crates/gradeshunt/src/backend/tests/written_attempts.rs
@@ -5,16 +5,16 @@
 
 use leadmast::Ending;
 
-use super::Play;
+use super::Fixture;
 use crate::exchange::AttemptId;
 use crate::ids::ServerId;
 use crate::pg::Writer;
 
-impl Play {
+impl Fixture {
     /// An attempt has been written completely, and is followed by an empty query that the kernel has not
     /// taken yet.
     fn attempt_before_an_unwritten_marker(&mut self) -> (TcpStream, AttemptId, ServerId) {
-        let (server, attempt) = self.attempt_out();
+        let (server, attempt) = self.start_attempt();
         let (id, connection) = self.backend.servers.iter_mut().next().expect("no connection");
         assert!(connection.outbound.push(&Writer::default().query(&[b""]).0));
         (server, attempt, *id)
@@ -25,37 +25,37 @@
 /// may have run, so that it is not repeated.
 #[test]
 fn written_attempt_whose_connection_breaks_before_an_empty_query_may_have_run() {
-    let mut play = Play::open();
-    let (_server, _, id) = play.attempt_before_an_unwritten_marker();
-    play.backend.connection_failed(&mut play.turn, &mut play.exchange, id, "reset");
-    assert_eq!(play.exchange.endings(), [("reset", 1)]);
+    let mut fixture = Fixture::open();
+    let (_server, _, id) = fixture.attempt_before_an_unwritten_marker();
+    fixture.backend.connection_failed(&mut fixture.turn, &mut fixture.exchange, id, "reset");
+    assert_eq!(fixture.exchange.endings(), [("reset", 1)]);
 }
 
 /// If the answer is malformed while an empty query is unwritten, the attempt before it must count as one that
 /// may have run, so that it is not repeated.
 #[test]
-fn written_attempt_whose_answer_is_spoilt_before_an_empty_query_may_have_run() {
-    let mut play = Play::open();
-    let (_server, _, id) = play.attempt_before_an_unwritten_marker();
-    play.backend.answer_malformed(&mut play.turn, &mut play.exchange, id, "malformed");
-    assert_eq!(play.exchange.endings(), [("error", 1)]);
+fn written_attempt_with_a_malformed_answer_before_an_empty_query_may_have_run() {
+    let mut fixture = Fixture::open();
+    let (_server, _, id) = fixture.attempt_before_an_unwritten_marker();
+    fixture.backend.answer_malformed(&mut fixture.turn, &mut fixture.exchange, id, "malformed");
+    assert_eq!(fixture.exchange.endings(), [("error", 1)]);
 }
 
 /// If an attempt times out while the empty query after it is unwritten, it must count as one that may have
 /// run, so that it is not repeated.
 #[test]
-fn written_attempt_whose_time_is_over_before_an_empty_query_may_have_run() {
-    let mut play = Play::open();
-    let (_server, attempt, _) = play.attempt_before_an_unwritten_marker();
-    play.backend.give_up(&mut play.turn, &mut play.exchange, attempt, Ending::Timeout);
-    assert_eq!(play.exchange.endings(), [("timeout", 1)]);
+fn written_attempt_that_times_out_before_an_empty_query_may_have_run() {
+    let mut fixture = Fixture::open();
+    let (_server, attempt, _) = fixture.attempt_before_an_unwritten_marker();
+    fixture.backend.give_up(&mut fixture.turn, &mut fixture.exchange, attempt, Ending::Timeout);
+    assert_eq!(fixture.exchange.endings(), [("timeout", 1)]);
 }
 
 /// The time for writing an attempt must not apply to an empty query that is written after it.
 #[test]
 fn written_attempt_is_not_denied_for_an_unwritten_empty_query() {
-    let mut play = Play::open();
-    let (_server, _, id) = play.attempt_before_an_unwritten_marker();
-    let long_after = play.turn.clock.now() + super::LONG_WAIT;
-    assert_eq!(play.backend.write_denial(long_after, id), None);
+    let mut fixture = Fixture::open();
+    let (_server, _, id) = fixture.attempt_before_an_unwritten_marker();
+    let long_after = fixture.turn.clock.now() + super::LONG_WAIT;
+    assert_eq!(fixture.backend.write_denial(long_after, id), None);
 }
--- a/crates/gradeshunt/src/exchange/tests.rs
+++ b/crates/gradeshunt/src/exchange/tests.rs
@@ -14,7 +14,7 @@
 const DEADLINE: Micros = 1_000_000;
 
 /// An exchange with two listed db hosts and a submitted write; `first` is the write's first attempt.
-struct Play {
+struct Fixture {
     exchange: Exchange,
     turn: Turn,
     first: AttemptId,
@@ -41,13 +41,13 @@
     }
 }
 
-impl Play {
-    fn open() -> Play {
-        Play::open_with(None)
+impl Fixture {
+    fn open() -> Fixture {
+        Fixture::open_with(None)
     }
 
     /// Like `open`, with `effect` in place of the class's own effect.
-    fn open_with(effect: Option<Effect>) -> Play {
+    fn open_with(effect: Option<Effect>) -> Fixture {
         let poll = calloop::EventLoop::<Ready>::try_new().expect("cannot create an event loop");
         let mut turn = Turn::new(poll.handle(), slog::Logger::root(slog::Discard, slog::o!()));
         turn.now = turn.clock.now();
@@ -76,13 +76,13 @@
             body: Body::new(b"SELECT 1".to_vec(), None, AnswerForm::Value),
         };
         exchange.submit(&mut turn, call);
-        let first = next_start(&mut exchange).expect("no attempt was started");
-        Play { exchange, turn, first, _poll: poll }
+        let first = next_started_attempt(&mut exchange).expect("no attempt was started");
+        Fixture { exchange, turn, first, _poll: poll }
     }
 
     /// Writes the first attempt, ends it with an error and `connection_end`, and writes the next one. Returns
     /// the counted violations of the rule that only one attempt is out.
-    fn repeat_behind(&mut self, connection_end: ConnectionEnd) -> u64 {
+    fn violations_of_repeat_after(&mut self, connection_end: ConnectionEnd) -> u64 {
         self.exchange.attempt_written(&self.turn, self.first, None);
         let trace = AttemptTrace { connection_end, ..AttemptTrace::default() };
         let ended = AttemptEnd {
@@ -93,7 +93,7 @@
             trace,
         };
         self.exchange.attempt_ended(&mut self.turn, ended);
-        let repeat = next_start(&mut self.exchange).expect("no further attempt was started");
+        let repeat = next_started_attempt(&mut self.exchange).expect("no further attempt was started");
         self.exchange.attempt_written(&self.turn, repeat, None);
         self.exchange.figures().violations.of(Rule::OneAttempt)
     }
@@ -101,31 +101,31 @@
 
 /// Ends the first attempt of an unsafe write with `ending`, after it was written completely or not, and
 /// writes a repeat. Returns the counted violations of the rule on repeats.
-fn repeats_counted(is_written: bool, ending: Ending) -> u64 {
-    let mut play = Play::open_with(Some(Effect::Unsafe));
-    let written = is_written.then_some(play.turn.now);
+fn repeat_violations(is_written: bool, ending: Ending) -> u64 {
+    let mut fixture = Fixture::open_with(Some(Effect::Unsafe));
+    let written = is_written.then_some(fixture.turn.now);
     let trace = AttemptTrace { written, ..AttemptTrace::default() };
-    let ended = AttemptEnd { attempt: play.first, ending, note: None, reply: HostReply::Nothing, trace };
-    play.exchange.attempt_ended(&mut play.turn, ended);
-    play.turn.now += DEADLINE / 2;
-    play.exchange.timer_due(&mut play.turn, TimerTag(0));
-    let repeat = AttemptId { number: play.first.number + 1, ..play.first };
-    play.exchange.attempt_written(&play.turn, repeat, None);
-    play.exchange.figures().violations.of(Rule::Repeat)
+    let ended = AttemptEnd { attempt: fixture.first, ending, note: None, reply: HostReply::Nothing, trace };
+    fixture.exchange.attempt_ended(&mut fixture.turn, ended);
+    fixture.turn.now += DEADLINE / 2;
+    fixture.exchange.timer_due(&mut fixture.turn, TimerTag(0));
+    let repeat = AttemptId { number: fixture.first.number + 1, ..fixture.first };
+    fixture.exchange.attempt_written(&fixture.turn, repeat, None);
+    fixture.exchange.figures().violations.of(Rule::Repeat)
 }
 
 /// A repeat of an unsafe write must be counted as a violation whenever the earlier attempt was written and
 /// not refused, even if the attempt was reported with an ending that claims it did not run.
 #[test]
-fn repeat_of_an_unsafe_write_that_was_written_whole_is_counted_whatever_its_ending() {
-    assert_eq!(repeats_counted(true, Ending::ConnectFailed), 1);
-    assert_eq!(repeats_counted(true, Ending::Moot), 1);
-    assert_eq!(repeats_counted(true, Ending::Full), 0, "its db host refused it");
-    assert_eq!(repeats_counted(false, Ending::ConnectFailed), 0, "it was not written completely");
+fn repeat_of_a_completely_written_unsafe_write_is_counted_whatever_its_ending() {
+    assert_eq!(repeat_violations(true, Ending::ConnectFailed), 1);
+    assert_eq!(repeat_violations(true, Ending::Moot), 1);
+    assert_eq!(repeat_violations(true, Ending::Full), 0, "its db host refused it");
+    assert_eq!(repeat_violations(false, Ending::ConnectFailed), 0, "it was not written completely");
 }
 
 /// Returns the next attempt that the backend is ordered to start.
-fn next_start(exchange: &mut Exchange) -> Option<AttemptId> {
+fn next_started_attempt(exchange: &mut Exchange) -> Option<AttemptId> {
     std::iter::from_fn(|| exchange.backend_commands.pop_front()).find_map(|command| match command {
         BackendCommand::Start { attempt, .. } => Some(attempt),
         _ => None,
@@ -135,7 +135,11 @@
 /// An attempt whose connection waits for ReadyForQuery is still out at its db host, though it has ended in
 /// the exchange. A second attempt written in that time must be counted as a violation.
 #[test]
-fn repeat_beside_a_connection_that_awaits_ready_for_query_is_counted() {
-    assert_eq!(Play::open().repeat_behind(ConnectionEnd::AwaitsReady), 1);
-    assert_eq!(Play::open().repeat_behind(ConnectionEnd::Kept), 0, "ReadyForQuery has arrived");
+fn repeat_during_an_attempt_that_awaits_ready_for_query_is_counted() {
+    assert_eq!(Fixture::open().violations_of_repeat_after(ConnectionEnd::AwaitsReady), 1);
+    assert_eq!(
+        Fixture::open().violations_of_repeat_after(ConnectionEnd::Kept),
+        0,
+        "ReadyForQuery has arrived"
+    );
 }
--- a/crates/gradeshunt/tests/attempts/main.rs
+++ b/crates/gradeshunt/tests/attempts/main.rs
@@ -18,16 +18,16 @@
 
 /// A client leaves while the db host does not read its request of this length. The bytes in the kernel's send
 /// buffer must not arrive afterwards.
-fn client_leaves_before_arrival(play: Play, length: usize) {
-    let mut client = play.client();
+fn client_leaves_before_arrival(fixture: Fixture, length: usize) {
+    let mut client = fixture.client();
     client.stream().write_all(&request(1, "page-read", 300_000, length)).expect("the connection is closed");
-    let mut server = play.accept();
-    until_request_begins(&mut server);
+    let mut server = fixture.accept();
+    wait_for_request_start(&mut server);
     client.stream().shutdown(std::net::Shutdown::Both).expect("the connection is closed");
     // The next client is accepted only after the proxy has noticed that the first one left.
-    let mut next = play.client();
+    let mut next = fixture.client();
     next.stream().write_all(&request(2, "page-read", 300_000, 0)).expect("the connection is closed");
-    next_request(&mut play.accept()).expect("no request arrived");
+    next_request(&mut fixture.accept()).expect("no request arrived");
     let mut rest = Vec::new();
     let ended = server.read_to_end(&mut rest);
     assert!(rest.len() < length, "the request arrived completely: {ended:?}");
@@ -37,13 +37,13 @@
 /// completely.
 fn window_ends_before_arrival(name: &str, length: usize) {
     const WINDOW_MS: u64 = 1_000;
-    let play = Play::open_with(name, WINDOW_MS, LONG_AIM_MS, |_| {});
-    let mut client = play.client();
+    let fixture = Fixture::open_with(name, WINDOW_MS, LONG_AIM_MS, |_| {});
+    let mut client = fixture.client();
     // The db host answers shortly before its connection breaks: otherwise it would be suspected, and the
     // repeat held back. On a loaded machine the answer was 50 ms old by then (log: `elapsed: 49706`), too old
     // for a short aim.
     client.stream().write_all(&request(100, "tally-write", 300_000, 0)).expect("the connection is closed");
-    let mut first = play.accept();
+    let mut first = fixture.accept();
     next_request(&mut first).expect("no request arrived");
     let row = Table { tag: "INSERT 0 1".to_owned(), ..Table::of(&["data"], &[&["v"]]) };
     first
@@ -54,9 +54,9 @@
     assert!(next_request(&mut first).expect("no request arrived").contains("id=1,"));
     socket2::SockRef::from(&first).set_linger(Some(Duration::ZERO)).expect("cannot set a socket option");
     drop(first);
-    let mut second = play.accept();
-    until_request_begins(&mut second);
-    let_pass(&play, WINDOW_MS + 200);
+    let mut second = fixture.accept();
+    wait_for_request_start(&mut second);
+    pass_time(&fixture, WINDOW_MS + 200);
     let mut rest = Vec::new();
     let ended = second.read_to_end(&mut rest);
     assert!(rest.len() < length, "the request was written completely: {ended:?}");
@@ -65,86 +65,102 @@
 /// A db host stops reading while a statement is half written. Once the wait time that the statement states is
 /// no longer accurate, the rest must not be written, and another attempt must state the time that is left.
 #[test]
-fn statement_whose_time_told_has_passed_is_not_written_to_its_end() {
+fn statement_whose_stated_wait_is_outdated_is_not_completed() {
     const WAIT_MS: u64 = 300_000;
     const PASSED_MS: u64 = 1_500;
-    let play = Play::open("half-written", 600_000);
-    let mut client = play.client();
-    client.stream().write_all(&request(1, "plain-write", WAIT_MS, LONG)).expect("the connection is closed");
-    let mut server = play.accept();
-    until_request_begins(&mut server);
-    let_pass(&play, PASSED_MS);
+    let fixture = Fixture::open("half-written", 600_000);
+    let mut client = fixture.client();
+    client
+        .stream()
+        .write_all(&request(1, "plain-write", WAIT_MS, STATEMENT_BEYOND_BUFFERS))
+        .expect("the connection is closed");
+    let mut server = fixture.accept();
+    wait_for_request_start(&mut server);
+    pass_time(&fixture, PASSED_MS);
     let mut rest = Vec::new();
     let ended = server.read_to_end(&mut rest);
-    assert!(rest.len() < LONG, "the request was written completely: {ended:?}");
-    let again = next_request(&mut play.accept()).expect("no further attempt arrived");
-    assert!(again.contains("id=1,") && told_ms(&again) <= WAIT_MS - PASSED_MS + 150, "{}", told_ms(&again));
+    assert!(rest.len() < STATEMENT_BEYOND_BUFFERS, "the request was written completely: {ended:?}");
+    let again = next_request(&mut fixture.accept()).expect("no further attempt arrived");
+    assert!(
+        again.contains("id=1,") && stated_wait_ms(&again) <= WAIT_MS - PASSED_MS + 150,
+        "{}",
+        stated_wait_ms(&again)
+    );
 }
 
 /// A statement that is completely in the kernel's send buffer arrives whenever its db host reads again, and
 /// would then state an outdated wait time. It must not arrive.
 #[test]
-fn short_statement_whose_time_told_has_passed_does_not_arrive_later() {
+fn short_statement_whose_stated_wait_is_outdated_does_not_arrive_later() {
     const WAIT_MS: u64 = 300_000;
     const PASSED_MS: u64 = 1_500;
-    let play = Play::open("held-time-told", 600_000);
-    let mut client = play.client();
-    client.stream().write_all(&request(1, "plain-write", WAIT_MS, HELD)).expect("the connection is closed");
-    let mut server = play.accept();
-    until_request_begins(&mut server);
-    let_pass(&play, PASSED_MS);
+    let fixture = Fixture::open("held-time-told", 600_000);
+    let mut client = fixture.client();
+    client
+        .stream()
+        .write_all(&request(1, "plain-write", WAIT_MS, STATEMENT_IN_SEND_BUFFER))
+        .expect("the connection is closed");
+    let mut server = fixture.accept();
+    wait_for_request_start(&mut server);
+    pass_time(&fixture, PASSED_MS);
     let mut rest = Vec::new();
     let ended = server.read_to_end(&mut rest);
-    assert!(rest.len() < HELD, "the request arrived completely: {ended:?}");
+    assert!(rest.len() < STATEMENT_IN_SEND_BUFFER, "the request arrived completely: {ended:?}");
 }
 
 /// A client leaves while the db host does not read: the part of its request in the kernel's send buffer must
 /// not arrive afterwards.
 #[test]
 fn attempt_whose_client_has_left_does_not_arrive_later() {
-    client_leaves_before_arrival(Play::open("left-in-the-queue", 600_000), LONG);
+    client_leaves_before_arrival(Fixture::open("left-in-the-queue", 600_000), STATEMENT_BEYOND_BUFFERS);
 }
 
 /// The kernel's send buffer holds a complete statement that was given up. An ordinary close would still
 /// deliver it.
 #[test]
-fn short_attempt_that_was_given_up_does_not_arrive_later() {
-    let play = Play::open("given-up-in-the-queue", 600_000);
-    let mut client = play.client();
-    client.stream().write_all(&request(1, "page-read", 700, HELD)).expect("the connection is closed");
-    let mut server = play.accept();
-    until_request_begins(&mut server);
+fn short_abandoned_attempt_does_not_arrive_later() {
+    let fixture = Fixture::open("given-up-in-the-queue", 600_000);
+    let mut client = fixture.client();
+    client
+        .stream()
+        .write_all(&request(1, "page-read", 700, STATEMENT_IN_SEND_BUFFER))
+        .expect("the connection is closed");
+    let mut server = fixture.accept();
+    wait_for_request_start(&mut server);
     assert!(client.until_ready().expect("no answer").code().is_some());
     let mut rest = Vec::new();
     let ended = server.read_to_end(&mut rest);
-    assert!(rest.len() < HELD, "the request arrived completely: {ended:?}");
+    assert!(rest.len() < STATEMENT_IN_SEND_BUFFER, "the request arrived completely: {ended:?}");
 }
 
 /// The kernel's send buffer holds a complete statement whose client has left. An ordinary close would still
 /// deliver it.
 #[test]
 fn short_attempt_whose_client_has_left_does_not_arrive_later() {
-    client_leaves_before_arrival(Play::open("left-in-the-system", 600_000), HELD);
+    client_leaves_before_arrival(Fixture::open("left-in-the-system", 600_000), STATEMENT_IN_SEND_BUFFER);
 }
 
 /// The same where the settings do not allow cancelling what was sent.
 #[test]
-fn short_attempt_that_is_not_called_off_does_not_arrive_after_its_client_has_left() {
+fn short_attempt_that_may_not_be_cancelled_does_not_arrive_after_its_client_has_left() {
     let keep_sent = |config: &mut Value| config["settings"]["allowed"]["mayCancel"] = json!(false);
-    client_leaves_before_arrival(Play::open_with("left-and-kept", 600_000, AIM_MS, keep_sent), HELD);
+    client_leaves_before_arrival(
+        Fixture::open_with("left-and-kept", 600_000, AIM_MS, keep_sent),
+        STATEMENT_IN_SEND_BUFFER,
+    );
 }
 
 /// The kernel's send buffer holds a complete repeat when its window ends. It must not arrive afterwards.
 #[test]
 fn short_repeat_whose_window_has_ended_does_not_arrive_later() {
-    window_ends_before_arrival("held-repeat", HELD);
+    window_ends_before_arrival("held-repeat", STATEMENT_IN_SEND_BUFFER);
 }
 
 /// A repeat is half written when the window ends within which db hosts drop repeats. It must never be
 /// completed.
 #[test]
-fn repeat_whose_window_has_ended_is_not_written_to_its_end() {
-    window_ends_before_arrival("half-repeat", LONG);
+fn repeat_whose_window_has_ended_is_not_completed() {
+    window_ends_before_arrival("half-repeat", STATEMENT_BEYOND_BUFFERS);
 }
 
 /// A client sends a CancelRequest. It must get an answer, and no further attempt may begin when the one that
@@ -152,8 +168,8 @@
 #[test]
 fn cancelled_request_is_answered_and_begins_no_further_attempt() {
     const CANCEL_REQUEST: u32 = 80_877_102;
-    let play = Play::open("cancelled", 600_000);
-    let mut client = play.program.connect(PATIENCE);
+    let fixture = Fixture::open("cancelled", 600_000);
+    let mut client = fixture.program.connect(TEST_TIMEOUT);
     client.write_all(&wire::startup(&[("user", "portal")])).expect("the connection is closed");
     let mut key = Vec::new();
     loop {
@@ -164,9 +180,9 @@
         }
     }
     client.write_all(&request(1, "page-read", 300_000, 0)).expect("the connection is closed");
-    let mut server = play.accept();
+    let mut server = fixture.accept();
     next_request(&mut server).expect("no request arrived");
-    let mut cancel = play.program.connect(PATIENCE);
+    let mut cancel = fixture.program.connect(TEST_TIMEOUT);
     let message = [&16_u32.to_be_bytes()[..], &CANCEL_REQUEST.to_be_bytes(), &key].concat();
     cancel.write_all(&message).expect("the connection is closed");
     assert_eq!(cancel.read(&mut [0]).expect("the connection is still open"), 0);
@@ -175,20 +191,20 @@
     drop(server);
     // The next attempt belongs to another request.
     client.write_all(&request(2, "page-read", 300_000, 0)).expect("the connection is closed");
-    assert!(next_request(&mut play.accept()).expect("no request arrived").contains("id=2,"));
+    assert!(next_request(&mut fixture.accept()).expect("no request arrived").contains("id=2,"));
 }
 
 /// An attempt whose ReadyForQuery is missing is still out at its db host for as long as its connection is
 /// open. The connection must be closed before the next attempt.
 #[test]
-fn no_further_attempt_is_out_beside_one_whose_ready_for_query_is_wanting() {
-    let play = Play::open("not-ready", 600_000);
-    let mut client = play.client();
+fn no_further_attempt_is_out_while_ready_for_query_is_missing() {
+    let fixture = Fixture::open("not-ready", 600_000);
+    let mut client = fixture.client();
     client.stream().write_all(&request(1, "page-read", 300_000, 0)).expect("the connection is closed");
-    let mut first = play.accept();
+    let mut first = fixture.accept();
     next_request(&mut first).expect("no request arrived");
     first.write_all(&wire::message(b'E', b"SERROR\0CXX000\0Mbroken\0\0")).expect("the connection is closed");
-    let mut second = play.accept();
+    let mut second = fixture.accept();
     assert!(next_request(&mut second).expect("the request was not sent again").contains("id=1,"));
     first.set_nonblocking(true).expect("cannot set a socket option");
     let end = first.read(&mut [0]);
@@ -202,37 +218,40 @@
 /// A db host answers a statement before it has read all of it. The rest must not be written afterwards, or
 /// the statement would run after it was answered.
 #[test]
-fn statement_that_was_answered_before_its_end_is_not_written_on() {
-    let play = Play::open_in_shell("answered-early", 600_000, AIM_MS, |_| {}, DEBUG_LOG);
-    let mut client = play.client();
-    client.stream().write_all(&request(1, "page-read", 300_000, LONG)).expect("the connection is closed");
-    let mut first = play.accept();
-    until_request_begins(&mut first);
+fn statement_answered_before_its_end_is_not_completed() {
+    let fixture = Fixture::open_in_shell("answered-early", 600_000, AIM_MS, |_| {}, WITH_DEBUG_LOG);
+    let mut client = fixture.client();
+    client
+        .stream()
+        .write_all(&request(1, "page-read", 300_000, STATEMENT_BEYOND_BUFFERS))
+        .expect("the connection is closed");
+    let mut first = fixture.accept();
+    wait_for_request_start(&mut first);
     let refusal = wire::message(b'E', b"SERROR\0C53300\0Mbusy\0\0");
     first.write_all(&[refusal, wire::message(b'Z', b"I")].concat()).expect("the connection is closed");
     // The db host reads on only once the proxy has handled the answer: before that, the proxy would rightly
     // write the whole statement.
-    play.program.until_logged("attempt ended", PATIENCE);
+    fixture.program.until_logged("attempt ended", TEST_TIMEOUT);
     // The next attempt arrives on a connection of its own, if the first one is not used again.
     first.set_read_timeout(Some(Duration::from_secs(2))).expect("cannot set a socket option");
     let mut rest = Vec::new();
     let ended = first.read_to_end(&mut rest);
-    assert!(rest.len() < LONG, "the request was written completely: {ended:?}");
+    assert!(rest.len() < STATEMENT_BEYOND_BUFFERS, "the request was written completely: {ended:?}");
 }
 
 /// The time between the end of the previous attempt and the writing of this one, by the process's own clock,
 /// in microseconds.
-fn repeat_wait(play: &Play, number: u64) -> i64 {
+fn repeat_wait(fixture: &Fixture, number: u64) -> i64 {
     let began = Instant::now();
     loop {
-        let log = play.program.log();
+        let log = fixture.program.log();
         let lines = log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
         let mut repeats = lines.filter(|line| line["msg"] == "repeat written");
         if let Some(told) = repeats.find(|line| line["number"] == number && line["earlier"] == number - 1) {
             let micros = |name: &str| told[name].as_i64().expect("no time in milliseconds or microseconds");
             return micros("at") - micros("earlier_ended");
         }
-        assert!(began.elapsed() < PATIENCE, "no repeat {number}: {log}");
+        assert!(began.elapsed() < TEST_TIMEOUT, "no repeat {number}: {log}");
     }
 }
 
@@ -242,21 +261,24 @@
 fn repeat_is_not_written_before_the_close_of_the_earlier_attempt_has_settled() {
     const SETTLES_IN_US: i64 = 2_000;
     let more_attempts = |config: &mut Value| config["settings"]["allowed"]["attempts"] = json!(9);
-    let play = Play::open_in_shell("settled", 600_000, PATIENT_AIM_MS, more_attempts, DEBUG_LOG);
-    let mut client = play.client();
-    client.stream().write_all(&request(1, "page-read", 300_000, LONG)).expect("the connection is closed");
+    let fixture = Fixture::open_in_shell("settled", 600_000, VERY_LONG_AIM_MS, more_attempts, WITH_DEBUG_LOG);
+    let mut client = fixture.client();
+    client
+        .stream()
+        .write_all(&request(1, "page-read", 300_000, STATEMENT_BEYOND_BUFFERS))
+        .expect("the connection is closed");
     let refusal = wire::message(b'E', b"SERROR\0C53300\0Mbusy\0\0");
     let early = [refusal, wire::message(b'Z', b"I")].concat();
     let error = wire::message(b'E', b"SERROR\0CXX000\0Mbroken\0\0");
     let spoilt = vec![b'?', 0, 0, 0, 4];
-    let mut first = play.accept();
-    until_request_begins(&mut first);
+    let mut first = fixture.accept();
+    wait_for_request_start(&mut first);
     first.write_all(&early).expect("the connection is closed");
     let broken = Vec::new();
     for (number, answer) in [(1, error), (2, spoilt), (3, broken), (4, Vec::new())] {
-        let mut server = play.accept();
+        let mut server = fixture.accept();
         assert!(next_request(&mut server).expect("no request arrived").contains("id=1,"));
-        let wait = repeat_wait(&play, number);
+        let wait = repeat_wait(&fixture, number);
         assert!(wait >= SETTLES_IN_US, "attempt {number} was written {wait} us after the close");
         server.write_all(&answer).expect("the connection is closed");
     }
@@ -276,16 +298,21 @@
 /// An answer that says that nothing has run, but lacks ReadyForQuery, must not leave its connection open
 /// during the next attempt either.
 #[test]
-fn no_further_attempt_is_out_beside_a_refusal_whose_ready_for_query_is_wanting() {
+fn no_further_attempt_is_out_while_ready_for_query_of_a_refusal_is_missing() {
     for code in ["53300", "57P03", "25006", "72000"] {
-        let play =
-            Play::open_in_shell(&format!("not-ready-{code}"), 600_000, PATIENT_AIM_MS, |_| {}, DEBUG_LOG);
-        let mut client = play.client();
+        let fixture = Fixture::open_in_shell(
+            &format!("not-ready-{code}"),
+            600_000,
+            VERY_LONG_AIM_MS,
+            |_| {},
+            WITH_DEBUG_LOG,
+        );
+        let mut client = fixture.client();
         client.stream().write_all(&request(1, "page-read", 300_000, 0)).expect("the connection is closed");
-        let mut first = play.accept();
+        let mut first = fixture.accept();
         next_request(&mut first).expect("no request arrived");
         first.write_all(&refusal(code, POSITION)).expect("the connection is closed");
-        assert!(play.next_attempt().contains("id=1,"));
+        assert!(fixture.next_attempt().contains("id=1,"));
         assert_eq!(has_ended(&mut first), Ok(()), "{code}");
     }
 }
@@ -293,7 +320,7 @@
 /// After no answer or a malformed one, the db host must see the end of the connection before the next
 /// attempt.
 #[test]
-fn no_further_attempt_is_out_beside_one_that_was_given_up() {
+fn no_further_attempt_is_out_during_an_abandoned_one() {
     let silent = Vec::new();
     let spoilt = vec![b'?', 0, 0, 0, 4];
     let ready_alone = wire::message(b'Z', b"I");
@@ -302,13 +329,13 @@
     let ways =
         [("silent", silent), ("spoilt", spoilt), ("ready", ready_alone), ("row", row_alone), ("cut", cut)];
     for (way, answer) in ways {
-        let play = Play::open(&format!("given-up-{way}"), 600_000);
-        let mut client = play.client();
+        let fixture = Fixture::open(&format!("given-up-{way}"), 600_000);
+        let mut client = fixture.client();
         client.stream().write_all(&request(1, "page-read", 20_000, 0)).expect("the connection is closed");
-        let mut first = play.accept();
+        let mut first = fixture.accept();
         next_request(&mut first).expect("no request arrived");
         first.write_all(&answer).expect("the connection is closed");
-        assert!(play.next_attempt().contains("id=1,"), "{way}");
+        assert!(fixture.next_attempt().contains("id=1,"), "{way}");
         assert_eq!(has_ended(&mut first), Ok(()), "{way}");
     }
 }
@@ -316,18 +343,18 @@
 /// A connection is established only after its attempt was given up and the next one was sent elsewhere. It
 /// must not carry the first attempt as well.
 #[test]
-fn connection_that_comes_up_late_gets_no_attempt_beside_the_next_one() {
-    let play = Play::open("up-late", 600_000);
-    let mut client = play.client();
+fn late_connection_does_not_carry_the_attempt_that_was_sent_elsewhere() {
+    let fixture = Fixture::open("up-late", 600_000);
+    let mut client = fixture.client();
     client.stream().write_all(&request(1, "page-read", 20_000, 0)).expect("the connection is closed");
-    let (mut late, _) = play.host.accept().expect("no connection arrived");
-    late.set_read_timeout(Some(PATIENCE)).expect("cannot set a socket option");
-    let mut second = play.accept();
+    let (mut late, _) = fixture.host.accept().expect("no connection arrived");
+    late.set_read_timeout(Some(TEST_TIMEOUT)).expect("cannot set a socket option");
+    let mut second = fixture.accept();
     assert!(next_request(&mut second).expect("no request arrived").contains("id=1,"));
     late.write_all(&[wire::message(b'R', &[0; 4]), wire::message(b'Z', b"I")].concat())
         .expect("the connection is closed");
     wire::read_startup(&mut late).expect("no startup message");
-    let mut other = play.client();
+    let mut other = fixture.client();
     other.stream().write_all(&request(2, "page-read", 20_000, 0)).expect("the connection is closed");
     assert!(next_request(&mut late).expect("no request arrived").contains("id=2,"));
 }
@@ -335,22 +362,22 @@
 /// A duplicate of an error may arrive after its connection has carried another answer. If it were taken for
 /// the answer to the next request, a further attempt could be sent while that request still runs.
 #[test]
-fn error_that_is_copied_behind_another_answer_leaves_no_attempt_out() {
+fn error_copied_after_another_answer_leaves_no_attempt_out() {
     let ready = wire::message(b'Z', b"I");
     let error = [refusal("XX000", POSITION), ready.clone()].concat();
     let row = Table { tag: "SELECT 1".to_owned(), ..Table::of(&["data"], &[&["v"]]) };
     let value = [wire::table(&row), ready.clone()].concat();
     let other_error = [refusal("XX000", "1767225600124"), ready].concat();
     for (way, between) in [("value", value), ("error", other_error)] {
-        let play = Play::open_with(&format!("copied-behind-{way}"), 600_000, PATIENT_AIM_MS, |_| {});
-        let mut client = play.client();
+        let fixture = Fixture::open_with(&format!("copied-behind-{way}"), 600_000, VERY_LONG_AIM_MS, |_| {});
+        let mut client = fixture.client();
         client.stream().write_all(&request(1, "page-read", 300_000, 0)).expect("the connection is closed");
-        let mut first = play.accept();
+        let mut first = fixture.accept();
         assert!(next_request(&mut first).expect("no request arrived").contains("id=1,"));
         first.write_all(&error).expect("the connection is closed");
         assert!(next_request(&mut first).expect("the request was not sent again").contains("id=1,"));
         first.write_all(&between).expect("the connection is closed");
-        let mut other = play.client();
+        let mut other = fixture.client();
         if way == "value" {
             other.stream().write_all(&request(2, "page-read", 300_000, 0)).expect("the connection is closed");
         }
@@ -366,11 +393,11 @@
 /// A duplicate of a refusal, complete or not, says nothing about the attempt that follows it. The write may
 /// be running and must not be sent again.
 #[test]
-fn refusal_that_is_copied_without_its_end_is_not_taken_for_one_of_the_next_attempt() {
-    let play = Play::open_with("copied-in-part", 600_000, PATIENT_AIM_MS, |_| {});
-    let mut client = play.client();
+fn partly_copied_refusal_is_not_taken_for_the_next_attempts_answer() {
+    let fixture = Fixture::open_with("copied-in-part", 600_000, VERY_LONG_AIM_MS, |_| {});
+    let mut client = fixture.client();
     client.stream().write_all(&request(1, "plain-write", 300_000, 0)).expect("the connection is closed");
-    let mut first = play.accept();
+    let mut first = fixture.accept();
     assert!(next_request(&mut first).expect("no request arrived").contains("id=1,"));
     let whole = [refusal("53300", POSITION), wire::message(b'Z', b"I")].concat();
     first.write_all(&whole).expect("the connection is closed");
@@ -385,69 +412,75 @@
 /// answer has not duplicated it: the write has never run, and its client must not be told that it may have.
 #[test]
 fn write_that_was_told_twice_to_go_elsewhere_has_never_run() {
-    let play = Play::open_with("read-only-twice", 600_000, PATIENT_AIM_MS, |_| {});
-    let mut client = play.client();
+    let fixture = Fixture::open_with("read-only-twice", 600_000, VERY_LONG_AIM_MS, |_| {});
+    let mut client = fixture.client();
     client.stream().write_all(&request(1, "plain-write", 5_000, 0)).expect("the connection is closed");
     let told = [refusal("25006", POSITION), wire::message(b'Z', b"I")].concat();
-    let host = play.host.try_clone().expect("cannot clone the listener");
+    let host = fixture.host.try_clone().expect("cannot clone the listener");
     std::thread::spawn(move || {
         while let Ok((server, _)) = host.accept() {
             let told = told.clone();
             std::thread::spawn(move || {
-                let mut server = greet(server);
+                let mut server = complete_startup(server);
                 while next_request(&mut server).is_ok() && server.write_all(&told).is_ok() {}
             });
         }
     });
     let answer = client.until_ready().expect("no answer");
-    assert_eq!(answer.outcome(), Outcome::Refused, "{:?}: {}", answer.code(), play.program.log());
+    assert_eq!(answer.outcome(), Outcome::Refused, "{:?}: {}", answer.code(), fixture.program.log());
 }
 
 /// A db host answers a statement of which a part is still in the kernel's send buffer. That part must not
 /// arrive afterwards.
 #[test]
-fn short_statement_that_was_answered_before_its_end_does_not_arrive_later() {
-    let play = Play::open_in_shell("answered-early-held", 600_000, AIM_MS, |_| {}, DEBUG_LOG);
-    let mut client = play.client();
-    client.stream().write_all(&request(1, "page-read", 300_000, HELD)).expect("the connection is closed");
-    let mut first = play.accept();
-    until_request_begins(&mut first);
+fn short_statement_answered_before_its_end_does_not_arrive_later() {
+    let fixture = Fixture::open_in_shell("answered-early-held", 600_000, AIM_MS, |_| {}, WITH_DEBUG_LOG);
+    let mut client = fixture.client();
+    client
+        .stream()
+        .write_all(&request(1, "page-read", 300_000, STATEMENT_IN_SEND_BUFFER))
+        .expect("the connection is closed");
+    let mut first = fixture.accept();
+    wait_for_request_start(&mut first);
     first
         .write_all(&[refusal("53300", POSITION), wire::message(b'Z', b"I")].concat())
         .expect("the connection is closed");
-    play.program.until_logged("attempt ended", PATIENCE);
+    fixture.program.until_logged("attempt ended", TEST_TIMEOUT);
     first.set_read_timeout(Some(Duration::from_secs(2))).expect("cannot set a socket option");
     let mut rest = Vec::new();
     let ended = first.read_to_end(&mut rest);
-    assert!(rest.len() < HELD, "the request arrived completely: {ended:?}");
+    assert!(rest.len() < STATEMENT_IN_SEND_BUFFER, "the request arrived completely: {ended:?}");
 }
 
 /// A db host sends a value, without ReadyForQuery, before it has read the whole statement. The rest must not
 /// be written afterwards.
 #[test]
-fn statement_whose_value_came_before_its_end_is_not_written_on() {
-    let play = Play::open_in_shell("value-early", 600_000, AIM_MS, |_| {}, DEBUG_LOG);
-    let mut client = play.client();
-    client.stream().write_all(&request(1, "page-read", 300_000, LONG)).expect("the connection is closed");
-    let mut first = play.accept();
-    until_request_begins(&mut first);
+fn statement_whose_value_arrived_before_its_end_is_not_completed() {
+    let fixture = Fixture::open_in_shell("value-early", 600_000, AIM_MS, |_| {}, WITH_DEBUG_LOG);
+    let mut client = fixture.client();
+    client
+        .stream()
+        .write_all(&request(1, "page-read", 300_000, STATEMENT_BEYOND_BUFFERS))
+        .expect("the connection is closed");
+    let mut first = fixture.accept();
+    wait_for_request_start(&mut first);
     let row = Table { tag: "SELECT 1".to_owned(), ..Table::of(&["data"], &[&["v"]]) };
     first.write_all(&wire::table(&row)).expect("the connection is closed");
     assert_eq!(client.until_ready().expect("no answer").code(), None);
     first.set_read_timeout(Some(Duration::from_secs(2))).expect("cannot set a socket option");
     let mut rest = Vec::new();
     let ended = first.read_to_end(&mut rest);
-    assert!(rest.len() < LONG, "the request was written completely: {ended:?}");
+    assert!(rest.len() < STATEMENT_BEYOND_BUFFERS, "the request was written completely: {ended:?}");
 }
 
 /// A duplicate of an error without a position must not be taken for the next attempt's answer, or two
 /// attempts could be out at once.
 #[test]
 fn copied_error_without_a_position_leaves_no_attempt_out() {
-    let play = Play::open_with("copied-unpositioned", 600_000, PATIENT_AIM_MS, |_| {});
-    let mut client = play.client();
+    let fixture = Fixture::open_with("copied-unpositioned", 600_000, VERY_LONG_AIM_MS, |_| {});
+    let mut client = fixture.client();
     client.stream().write_all(&request(1, "page-read", 300_000, 0)).expect("the connection is closed");
-    let mut first = play.accept();
+    let mut first = fixture.accept();
     let error = [wire::error("XX000", "no"), wire::message(b'Z', b"I")].concat();
     next_request(&mut first).expect("no request arrived");
     first.write_all(&error).expect("the connection is closed");
@@ -461,13 +494,13 @@
 /// After a value that arrived twice, each request could get the answer of the request before it. An error
 /// must then not lead to another attempt while its request still runs.
 #[test]
-fn error_behind_a_copied_value_leaves_no_attempt_out() {
-    let play = Play::open_with("copied-value", 600_000, PATIENT_AIM_MS, |_| {});
+fn error_after_a_copied_value_leaves_no_attempt_out() {
+    let fixture = Fixture::open_with("copied-value", 600_000, VERY_LONG_AIM_MS, |_| {});
     let row = Table { tag: "SELECT 1".to_owned(), ..Table::of(&["data"], &[&["v"]]) };
     let value = [wire::table(&row), wire::message(b'Z', b"I")].concat();
-    let mut clients = [play.client(), play.client(), play.client()];
+    let mut clients = [fixture.client(), fixture.client(), fixture.client()];
     clients[0].stream().write_all(&request(1, "page-read", 300_000, 0)).expect("the connection is closed");
-    let mut first = play.accept();
+    let mut first = fixture.accept();
     next_request(&mut first).expect("no request arrived");
     first.write_all(&value).expect("the connection is closed");
     clients[0].until_ready().expect("no answer");
--- a/crates/gradeshunt/tests/attempts/played_host.rs
+++ b/crates/gradeshunt/tests/attempts/played_host.rs
@@ -15,12 +15,12 @@
 use serde_json::{json, Value};
 
 /// Time-out that ends a failing test. It is far longer than any wait in a passing one.
-pub const PATIENCE: Duration = Duration::from_secs(8);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(8);
 /// A statement longer than the socket buffers of a connection whose peer does not read.
-pub const LONG: usize = 250_000;
+pub const STATEMENT_BEYOND_BUFFERS: usize = 250_000;
 /// A statement that the kernel takes completely for such a connection, but of which some stays in the send
 /// buffer.
-pub const HELD: usize = 20_000;
+pub const STATEMENT_IN_SEND_BUFFER: usize = 20_000;
 /// Size of the receive buffer that is requested for the db host's connections.
 pub const RECEIVE_BUFFER: usize = 4_096;
 
@@ -31,25 +31,25 @@
 /// machine.
 pub const LONG_AIM_MS: f64 = 4_000.0;
 /// An aim long enough for a repeat to be waited for, however late it is handled on a busy machine.
-pub const PATIENT_AIM_MS: f64 = 20_000.0;
+pub const VERY_LONG_AIM_MS: f64 = 20_000.0;
 /// Starts the program with a log that includes each attempt.
-pub const DEBUG_LOG: &str = r#"exec "$0" --log-level debug --log-format json;"#;
+pub const WITH_DEBUG_LOG: &str = r#"exec "$0" --log-level debug --log-format json;"#;
 
 /// A gradeshunt process and its only db host, whose connections have small receive buffers.
-pub struct Play {
+pub struct Fixture {
     pub host: TcpListener,
-    _deaf_discovery: TcpListener,
+    _unresponsive_discovery: TcpListener,
     pub program: Standalone,
 }
 
-impl Play {
-    pub fn open(name: &str, window_ms: u64) -> Play {
-        Play::open_with(name, window_ms, AIM_MS, |_| {})
+impl Fixture {
+    pub fn open(name: &str, window_ms: u64) -> Fixture {
+        Fixture::open_with(name, window_ms, AIM_MS, |_| {})
     }
 
     /// Like `open`, with an aim in milliseconds and with `edit` applied to the configuration.
-    pub fn open_with(name: &str, window_ms: u64, aim: f64, edit: impl Fn(&mut Value)) -> Play {
-        Play::open_in_shell(name, window_ms, aim, edit, "")
+    pub fn open_with(name: &str, window_ms: u64, aim: f64, edit: impl Fn(&mut Value)) -> Fixture {
+        Fixture::open_in_shell(name, window_ms, aim, edit, "")
     }
 
     /// Like `open_with`, with shell commands that start the program.
@@ -59,12 +59,14 @@
         aim: f64,
         edit: impl Fn(&mut Value),
         shell: &'static str,
-    ) -> Play {
+    ) -> Fixture {
         let host = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
         socket2::SockRef::from(&host)
             .set_recv_buffer_size(RECEIVE_BUFFER)
             .expect("cannot set a socket option");
-        socket2::SockRef::from(&host).set_read_timeout(Some(PATIENCE)).expect("cannot set a socket option");
+        socket2::SockRef::from(&host)
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("cannot set a socket option");
         let window = Duration::from_millis(window_ms);
         let site =
             Site::open(Plan { sets: vec![1], window, aim, ..Plan::default() }).expect("cannot open the site");
@@ -83,12 +85,12 @@
             environment: Vec::new(),
         };
         let program = Standalone::start(start, |_| {}).expect("the program does not start");
-        Play { host, _deaf_discovery: discovery, program }
+        Fixture { host, _unresponsive_discovery: discovery, program }
     }
 
     pub fn client(&self) -> Client {
-        drop(self.program.connect(PATIENCE));
-        Client::connect(self.program.addr, &[("user", "portal")], PATIENCE)
+        drop(self.program.connect(TEST_TIMEOUT));
+        Client::connect(self.program.addr, &[("user", "portal")], TEST_TIMEOUT)
             .expect("the session does not start")
     }
 
@@ -96,13 +98,13 @@
     pub fn accept(&self) -> TcpStream {
         let connected = self.host.accept();
         let (server, _) = connected.unwrap_or_else(|e| panic!("no connection: {e}: {}", self.program.log()));
-        greet(server)
+        complete_startup(server)
     }
 
     /// Returns the next attempt on any further connection, some of which may carry probes instead. No other
     /// method of the db host may be used afterwards.
     pub fn next_attempt(&self) -> String {
-        let attempt = self.further_attempts().recv_timeout(PATIENCE).expect("no further attempt arrived");
+        let attempt = self.further_attempts().recv_timeout(TEST_TIMEOUT).expect("no further attempt arrived");
         attempt.unwrap_or_else(|e| panic!("no attempt: {e:?}: {}", self.program.log()))
     }
 
@@ -115,7 +117,7 @@
             while let Ok((server, _)) = host.accept() {
                 let found = found.clone();
                 std::thread::spawn(move || {
-                    found.send(next_request(&mut greet(server)).map_err(|e| e.kind()))
+                    found.send(next_request(&mut complete_startup(server)).map_err(|e| e.kind()))
                 });
             }
         });
@@ -124,8 +126,8 @@
 }
 
 /// Completes the startup of a connection at the db host.
-pub fn greet(mut server: TcpStream) -> TcpStream {
-    server.set_read_timeout(Some(PATIENCE)).expect("cannot set a socket option");
+pub fn complete_startup(mut server: TcpStream) -> TcpStream {
+    server.set_read_timeout(Some(TEST_TIMEOUT)).expect("cannot set a socket option");
     wire::read_startup(&mut server).expect("no startup message");
     server
         .write_all(&[wire::message(b'R', &[0; 4]), wire::message(b'Z', b"I")].concat())
@@ -134,7 +136,7 @@
 }
 
 /// Waits until a client's request begins to arrive, and answers the proxy's own queries before it.
-pub fn until_request_begins(server: &mut TcpStream) {
+pub fn wait_for_request_start(server: &mut TcpStream) {
     const HEAD: usize = 5;
     let mut begin = [0; HEAD + 2];
     loop {
@@ -204,21 +206,21 @@
 }
 
 /// The wait time that a request states, in milliseconds.
-pub fn told_ms(text: &str) -> u64 {
+pub fn stated_wait_ms(text: &str) -> u64 {
     let told = text.split(",d=").nth(1).and_then(|rest| rest.split(',').next());
     told.and_then(|ms| ms.parse().ok()).expect("no time in milliseconds or microseconds")
 }
 
 /// Lets `ms` milliseconds pass while requests wait at the db host, one after the other, until their clients
 /// get an answer.
-pub fn let_pass(play: &Play, ms: u64) {
+pub fn pass_time(fixture: &Fixture, ms: u64) {
     let (began, passed) = (Instant::now(), Duration::from_millis(ms));
     for id in 100.. {
         let left = passed.saturating_sub(began.elapsed());
         if left.is_zero() {
             return;
         }
-        let mut client = play.client();
+        let mut client = fixture.client();
         let wait_ms = left.as_millis() as u64 + 1;
         client.stream().write_all(&request(id, "page-read", wait_ms, 0)).expect("the connection is closed");
         assert!(client.until_ready().expect("no answer").code().is_some());
