--- a/crates/gradeshunt/src/backend.rs
+++ b/crates/gradeshunt/src/backend.rs
@@ -22,7 +22,7 @@
 
 use self::connection::{HostConnection, Stage};
 use self::hosts::Host;
-pub use self::hosts::Listed;
+pub use self::hosts::ListedHost;
 use self::jobs::{Job, JobPlace};
 use crate::deadlines::Due;
 use crate::exchange::{AttemptId, BackendCommand, Exchange};
@@ -41,7 +41,7 @@
     /// The name by which the other proxies of the group know this one.
     own_name: String,
     hosts: BTreeMap<MemberId, Host>,
-    servers: BTreeMap<ServerId, HostConnection>,
+    connections: BTreeMap<ServerId, HostConnection>,
     attempts: BTreeMap<AttemptId, (Micros, JobPlace)>,
     probes: BTreeMap<MemberId, (Micros, JobPlace)>,
     /// Db hosts that reported a position before primaries had shown the offset between the clocks.
@@ -57,7 +57,7 @@
             max_connections: 0,
             own_name: String::new(),
             hosts: BTreeMap::new(),
-            servers: BTreeMap::new(),
+            connections: BTreeMap::new(),
             attempts: BTreeMap::new(),
             probes: BTreeMap::new(),
             unverified_positions: Vec::new(),
@@ -68,7 +68,7 @@
     /// Sets the maximum number of connections, and closes idle ones above it.
     pub fn set_max_connections(&mut self, turn: &mut Turn, most: usize) {
         self.max_connections = most;
-        while self.servers.len() > most && self.close_oldest_idle(turn) {}
+        while self.connections.len() > most && self.close_oldest_idle(turn) {}
     }
 
     // ---- Orders ----
@@ -116,7 +116,7 @@
     pub fn attempt_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: AttemptId) {
         // A long answer that has begun is read for as long as it makes progress.
         if let Some((until, JobPlace::On(server))) = self.attempts.get_mut(&id) {
-            let passed = self.servers.get(server).and_then(|s| match &s.stage {
+            let passed = self.connections.get(server).and_then(|s| match &s.stage {
                 Stage::Busy { reply, .. } => reply.last_passed_on,
                 _ => None,
             });
@@ -140,8 +140,8 @@
         self.cancel_job(turn, exchange, place, Ending::Timeout, |j| matches!(j, Job::Probe { .. }));
     }
 
-    pub fn server_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
-        match self.servers.get(&id).map(|s| &s.stage) {
+    pub fn connection_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
+        match self.connections.get(&id).map(|s| &s.stage) {
             Some(Stage::Starting { by }) if *by <= turn.now => {
                 self.connection_failed(turn, exchange, id, "connecting timed out")
             }
@@ -150,7 +150,7 @@
                 self.end_without_ready(turn, exchange, id)
             }
             Some(Stage::Busy { .. }) if self.is_marker_due(turn.now, id) => {
-                self.marker_due(turn, exchange, id)
+                self.marker_timed_out(turn, exchange, id)
             }
             Some(Stage::AwaitsReady { by }) if *by <= turn.now => self.close(turn, id),
             Some(Stage::AwaitsClose { by, .. }) if *by <= turn.now => self.finish_ending(turn, exchange, id),
--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -25,11 +25,11 @@
 const DATABASE: &str = "crm";
 /// The fraction of the db hosts' idle time-out after which this side closes an idle connection: well before
 /// the db host does, so that no request is written to a connection that is just being closed.
-const IDLE_SHARE: f64 = 0.6;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
 /// Number of recent error answers that a connection remembers. A duplicate that arrives after more answers is
 /// not recognized.
-const ERRORS_KEPT: usize = 8;
+const RECENT_ERRORS: usize = 8;
 
 /// Size of the kernel's send buffer for a connection to a db host. The proxy cannot withdraw bytes in it: a
 /// db host that has stopped reading receives them whenever it reads again, however late.
@@ -94,9 +94,9 @@
     pub(super) stage: Stage,
     pub(super) write_progress: WriteProgress,
     /// The latest error answers on this connection, with the positions that they reported.
-    pub(super) errors: VecDeque<(String, f64)>,
+    pub(super) recent_errors: VecDeque<(String, f64)>,
     /// Digests of the latest answers on this connection.
-    pub(super) answers: VecDeque<u64>,
+    pub(super) recent_answers: VecDeque<u64>,
     /// Whether a request or a probe has been written to this connection.
     pub(super) has_carried_request: bool,
     /// The empty query that is not answered yet, if any.
@@ -108,15 +108,15 @@
     /// usually advance, so that an error with an unchanged position may be a duplicate, which says nothing
     /// about its request.
     pub(super) fn repeats_error(&self, reply: &Reply) -> bool {
-        reply.error_with_position().is_some_and(|error| self.errors.contains(&error))
+        reply.error_with_position().is_some_and(|error| self.recent_errors.contains(&error))
     }
 
     /// Remembers an answer, so that a duplicate that arrives after other answers is recognized.
-    fn remember(&mut self, reply: &Reply) {
+    fn remember_reply(&mut self, reply: &Reply) {
         self.remember_answer(reply);
-        self.errors.extend(reply.error_with_position());
-        if self.errors.len() > ERRORS_KEPT {
-            self.errors.pop_front();
+        self.recent_errors.extend(reply.error_with_position());
+        if self.recent_errors.len() > RECENT_ERRORS {
+            self.recent_errors.pop_front();
         }
     }
 
@@ -161,8 +161,8 @@
             outbound: Ring::default(),
             stage: Stage::Starting { by },
             write_progress: WriteProgress::default(),
-            errors: VecDeque::new(),
-            answers: VecDeque::new(),
+            recent_errors: VecDeque::new(),
+            recent_answers: VecDeque::new(),
             has_carried_request: false,
             marker: None,
         };
@@ -174,10 +174,10 @@
         if !s.outbound.push(&startup.0) {
             return Err(io::ErrorKind::OutOfMemory.into());
         }
-        host.starting += 1;
+        host.connecting += 1;
         host.servers += 1;
         turn.deadlines.set(by, Due::Server(id));
-        self.servers.insert(id, s);
+        self.connections.insert(id, s);
         Ok(())
     }
 
@@ -202,20 +202,20 @@
 
     /// Puts a connection into the pool. Returns its db host and its previous stage.
     fn make_idle(&mut self, turn: &mut Turn, id: ServerId) -> Option<(MemberId, Stage)> {
-        let s = self.servers.get_mut(&id)?;
+        let s = self.connections.get_mut(&id)?;
         let member = s.member;
-        let until = turn.now + (self.connection_settings.idle as f64 * IDLE_SHARE) as Micros;
+        let until = turn.now + (self.connection_settings.idle as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         let former = std::mem::replace(&mut s.stage, Stage::Idle { since: turn.now, until });
         turn.deadlines.set(until, Due::Server(id));
         let host = self.hosts.get_mut(&member)?;
         host.idle.push(id);
         match &former {
             Stage::Starting { by } => {
-                host.starting -= 1;
+                host.connecting -= 1;
                 turn.deadlines.clear(*by, Due::Server(id));
             }
             Stage::AwaitsReady { by } => turn.deadlines.clear(*by, Due::Server(id)),
-            Stage::Busy { reply, .. } => s.remember(reply),
+            Stage::Busy { reply, .. } => s.remember_reply(reply),
             Stage::Idle { .. } | Stage::AwaitsClose { .. } | Stage::Resetting => {}
         }
         Some((member, former))
@@ -227,14 +227,14 @@
     fn has_rest_of_request(&self, id: ServerId, former: &Stage) -> bool {
         let is_error = matches!(former, Stage::Busy { reply, .. } if reply.error.is_some());
         let holds_rest = |s: &HostConnection| !s.outbound.is_empty() || (is_error && s.has_more_to_send());
-        self.servers.get(&id).is_some_and(holds_rest)
+        self.connections.get(&id).is_some_and(holds_rest)
     }
 
     /// Closes a connection that may not be used for another request; returns whether it may. Bytes after an
     /// answer belong to no request, least of all to the next one: the answer before them is valid, but the
     /// connection cannot be used again.
     fn keep_if_reusable(&mut self, turn: &mut Turn, id: ServerId) -> bool {
-        let has_surplus = self.servers.get(&id).is_none_or(|s| !s.inbound.is_empty());
+        let has_surplus = self.connections.get(&id).is_none_or(|s| !s.inbound.is_empty());
         if has_surplus || self.reuse_denial(turn.now, id).is_some() {
             self.close(turn, id);
             return false;
@@ -273,7 +273,7 @@
             if let Some(denial) = self.write_denial(turn.clock.now(), id) {
                 return Err(WriteFailure::Denied(denial));
             }
-            let Some(s) = self.servers.get_mut(&id) else { return Ok(()) };
+            let Some(s) = self.connections.get_mut(&id) else { return Ok(()) };
             match s.outbound.drain(&s.polled.socket) {
                 Ok(Moved::Some(_)) => self.note_written(turn, exchange, id),
                 Ok(_) => return Ok(()),
@@ -287,7 +287,7 @@
     /// Records that bytes of a job were written, possibly its first or last ones. Bytes after its last one
     /// are the proxy's own.
     fn note_written(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+        let Some(s) = self.connections.get_mut(&id) else { return };
         let Stage::Busy { job, .. } = &mut s.stage else { return };
         if job.is_written() {
             return;
--- a/crates/gradeshunt/src/backend/ending.rs
+++ b/crates/gradeshunt/src/backend/ending.rs
@@ -49,7 +49,7 @@
         id: ServerId,
         given_up: AbandonedAttempt,
     ) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+        let Some(s) = self.connections.get_mut(&id) else { return };
         let by = turn.now + HOST_END_TIMEOUT;
         let may_be_followed = match &given_up.job {
             Job::Attempt { id, .. } => exchange.may_be_followed(*id, by),
@@ -70,7 +70,7 @@
     /// The db host has closed the connection of an attempt that was given up, or has not done so in time:
     /// resets the connection and ends the attempt.
     pub(super) fn finish_ending(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+        let Some(s) = self.connections.get_mut(&id) else { return };
         let member = s.member;
         let (given_up, by) = match std::mem::replace(&mut s.stage, Stage::Resetting) {
             Stage::AwaitsClose { given_up, by } => (given_up, by),
--- a/crates/gradeshunt/src/backend/failures.rs
+++ b/crates/gradeshunt/src/backend/failures.rs
@@ -30,7 +30,7 @@
             let ending = reply.ending().unwrap_or(broken);
             return self.end_job(turn, exchange, member, job, ending, reply);
         }
-        let Some(s) = self.servers.get(&id) else { return };
+        let Some(s) = self.connections.get(&id) else { return };
         match s.stage {
             Stage::Starting { .. } => {
                 info!(turn.log, "db host connection failed"; "member" => s.member.0, "why" => why);
@@ -72,11 +72,11 @@
     /// Takes the job from a busy connection, with what has arrived of its reply. An answer that is or may be
     /// a duplicate of an earlier one is dropped.
     pub(super) fn take_job(&mut self, id: ServerId) -> Option<(MemberId, Job, Reply)> {
-        let s = self.servers.get_mut(&id)?;
+        let s = self.connections.get_mut(&id)?;
         match std::mem::replace(&mut s.stage, Stage::Resetting) {
             Stage::Busy { mut job, reply, .. } => {
                 job.set_connection_end(ConnectionEnd::Reset);
-                let may_be_copy = s.marker.is_some() || s.repeats_error(&reply) || s.may_be_copy(&reply);
+                let may_be_copy = s.marker.is_some() || s.repeats_error(&reply) || s.may_be_duplicate(&reply);
                 let reply = if may_be_copy { Reply::default() } else { reply };
                 Some((s.member, job, reply))
             }
@@ -95,7 +95,7 @@
         id: ServerId,
         code: &str,
     ) {
-        let member = self.servers.get(&id).map_or(0, |s| s.member.0);
+        let member = self.connections.get(&id).map_or(0, |s| s.member.0);
         info!(turn.log, "db host refused a connection"; "member" => member, "code" => code);
         let ending = match code {
             sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW => Ending::Full,
@@ -107,7 +107,7 @@
     /// Handles a connection that could not be established: ends the oldest waiting job too, unless enough
     /// other connections are still being opened.
     fn startup_failed(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId, ending: Ending) {
-        let Some(member) = self.servers.get(&id).map(|s| s.member) else { return };
+        let Some(member) = self.connections.get(&id).map(|s| s.member) else { return };
         self.close(turn, id);
         self.fail_surplus_job(turn, exchange, member, ending);
     }
@@ -121,7 +121,7 @@
         ending: Ending,
     ) {
         let Some(host) = self.hosts.get_mut(&member) else { return };
-        if host.waiting.len() > host.starting {
+        if host.waiting.len() > host.connecting {
             if let Some(job) = host.waiting.pop_front() {
                 self.end_job(turn, exchange, member, job, ending, Reply::default());
             }
--- a/crates/gradeshunt/src/backend/hosts.rs
+++ b/crates/gradeshunt/src/backend/hosts.rs
@@ -34,7 +34,7 @@
     pub(super) held_out: bool,
     /// Idle connections, the most recently used last.
     pub(super) idle: Vec<ServerId>,
-    pub(super) starting: usize,
+    pub(super) connecting: usize,
     /// Number of all connections to it.
     pub(super) servers: usize,
     /// When connections are retried that failed for lack of system resources.
@@ -47,7 +47,12 @@
 impl Host {
     /// Converts a position that the db host has just reported, in Unix milliseconds, to the proxy's clock;
     /// `None` if it is not plausible.
-    pub(super) fn position(&mut self, turn: &mut Turn, ms: f64, primary: Option<bool>) -> Option<Micros> {
+    pub(super) fn convert_position(
+        &mut self,
+        turn: &mut Turn,
+        ms: f64,
+        primary: Option<bool>,
+    ) -> Option<Micros> {
         let (now, own_error) = (turn.clock.now(), turn.clock.own_error());
         let position = self.positions.read(&mut turn.clock, now, ms, primary);
         if turn.clock.own_error() != own_error {
@@ -59,7 +64,7 @@
     /// The db host's position and role according to a reply.
     pub(super) fn note(&mut self, turn: &mut Turn, reply: &Reply) -> Option<Note> {
         let primary = reply.primary?;
-        let position = reply.position.and_then(|ms| self.position(turn, ms, reply.primary));
+        let position = reply.position.and_then(|ms| self.convert_position(turn, ms, reply.primary));
         Some(Note { position, primary })
     }
 
@@ -84,7 +89,7 @@
 }
 
 /// A db host as listed by discovery.
-pub struct Listed {
+pub struct ListedHost {
     /// Its name, which remains the same when its member number is reused.
     pub id: String,
     pub member: MemberId,
@@ -101,7 +106,7 @@
         turn: &mut Turn,
         exchange: &mut Exchange,
         kind: ListKind,
-        listed: &[Listed],
+        listed: &[ListedHost],
     ) {
         let mut closed = Vec::new();
         if matches!(kind, ListKind::Full | ListKind::Saved) {
@@ -158,7 +163,7 @@
             closed_since: None,
             held_out: false,
             idle: Vec::new(),
-            starting: 0,
+            connecting: 0,
             servers: 0,
             retry_connect_at: None,
             waiting: VecDeque::new(),
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -108,13 +108,13 @@
                 self.probes.insert(member, (until, JobPlace::Waiting(member)));
             }
         }
-        if let Some(id) = self.lease(turn, member) {
+        if let Some(id) = self.take_reusable(turn, member) {
             return self.write(turn, exchange, id, job);
         }
         if let Some(host) = self.hosts.get_mut(&member) {
             host.waiting.push_back(job);
         }
-        self.open_for_waiting(turn, exchange, member);
+        self.open_for_waiting_job(turn, exchange, member);
     }
 
     /// Why a job may not begin or be written to a connection, or `None` if it may.
@@ -132,7 +132,7 @@
 
     /// Why the rest of a connection's request may not be written, or `None` if it may.
     pub(super) fn write_denial(&self, now: Micros, id: ServerId) -> Option<AttemptDenial> {
-        let s = self.servers.get(&id)?;
+        let s = self.connections.get(&id)?;
         let Stage::Busy { job, .. } = &s.stage else { return None };
         let Job::Attempt { until, write_by, .. } = job else { return None };
         if job.is_written() {
@@ -178,7 +178,7 @@
     }
 
     pub(super) fn write(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId, mut job: Job) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+        let Some(s) = self.connections.get_mut(&id) else { return };
         if matches!(s.stage, Stage::Idle { until, .. } if turn.clock.now() > until + SUSPENSION_TOLERANCE) {
             exchange.record_violation(turn, Rule::ExpiredConnection, None);
         }
@@ -242,7 +242,7 @@
         match self.attempts.get(&id) {
             Some((_, JobPlace::Waiting(_))) => true,
             Some((_, JobPlace::On(server))) => {
-                self.servers.get(server).is_some_and(HostConnection::has_unsent_job)
+                self.connections.get(server).is_some_and(HostConnection::has_unsent_job)
             }
             None => false,
         }
@@ -252,7 +252,7 @@
     /// outlast the window for writing it and the wait time that its statement states.
     pub(super) fn awaited_until(&self, now: Micros, id: AttemptId) -> Option<Micros> {
         let (_, JobPlace::On(server)) = self.attempts.get(&id)? else { return None };
-        let Stage::Busy { job: Job::Attempt { until, .. }, .. } = &self.servers.get(server)?.stage else {
+        let Stage::Busy { job: Job::Attempt { until, .. }, .. } = &self.connections.get(server)?.stage else {
             return None;
         };
         (now < *until && !self.is_unsent(id)).then_some(*until)
@@ -340,7 +340,7 @@
                     Ending::Error
                         if is_peer(member) && reply.error.as_deref() == Some(sqlstate::PROXY_LEAVING) =>
                     {
-                        HostReply::Leaving
+                        HostReply::ShuttingDown
                     }
                     Ending::Error if reply.may_be_duplicate => HostReply::PossibleDuplicate,
                     Ending::Full if reply.error.is_some() => {
@@ -364,7 +364,9 @@
                 let report = reply.row.filter(|_| ending == Ending::Ok);
                 let host = self.hosts.get_mut(&member);
                 let report = report.zip(host).and_then(|(row, host)| {
-                    parse_load_report(&row, &self.fields, |ms, primary| host.position(turn, ms, primary))
+                    parse_load_report(&row, &self.fields, |ms, primary| {
+                        host.convert_position(turn, ms, primary)
+                    })
                 });
                 exchange.probe_ended(turn, Probed { member, ending, elapsed: turn.now - since, report });
                 self.report_verified_positions(turn, exchange, member);
--- a/crates/gradeshunt/src/backend/opening.rs
+++ b/crates/gradeshunt/src/backend/opening.rs
@@ -20,13 +20,18 @@
     /// Opens a connection for the newest waiting job. Where the system temporarily lacks resources, the job
     /// keeps waiting: if its attempt failed at once, all further attempts would follow and fail before the
     /// shortage had passed.
-    pub(super) fn open_for_waiting(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
+    pub(super) fn open_for_waiting_job(
+        &mut self,
+        turn: &mut Turn,
+        exchange: &mut Exchange,
+        member: MemberId,
+    ) {
         match self.open_within_limit(turn, member) {
             Ok(()) => {}
             Err(e) if is_transient(&e) => self.schedule_connect_retry(turn, member, &e),
             Err(e) => {
                 warn!(turn.log, "cannot open a connection to a db host"; "error" => e.to_string());
-                self.end_latest_waiting(turn, exchange, member);
+                self.end_newest_waiting_job(turn, exchange, member);
             }
         }
     }
@@ -35,14 +40,14 @@
     pub fn connect_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         let Some(host) = self.hosts.get_mut(&member) else { return };
         host.retry_connect_at = None;
-        for _ in 0..host.waiting.len().saturating_sub(host.starting) {
-            self.open_for_waiting(turn, exchange, member);
+        for _ in 0..host.waiting.len().saturating_sub(host.connecting) {
+            self.open_for_waiting_job(turn, exchange, member);
         }
     }
 
     /// Opens a connection, and first closes an idle one if the limit is reached.
     fn open_within_limit(&mut self, turn: &mut Turn, member: MemberId) -> io::Result<()> {
-        if self.servers.len() >= self.max_connections && !self.close_oldest_idle(turn) {
+        if self.connections.len() >= self.max_connections && !self.close_oldest_idle(turn) {
             return Err(io::Error::other("too many connections"));
         }
         match self.open(turn, member) {
@@ -64,7 +69,7 @@
     }
 
     /// Ends the newest waiting job. The fault is this machine's, not the db host's, and nothing was sent.
-    fn end_latest_waiting(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
+    fn end_newest_waiting_job(&mut self, turn: &mut Turn, exchange: &mut Exchange, member: MemberId) {
         let job = self.hosts.get_mut(&member).and_then(|host| host.waiting.pop_back());
         if let Some(job) = job {
             self.end_job(turn, exchange, member, job, Ending::Moot, Reply::default());
--- a/crates/gradeshunt/src/backend/pool.rs
+++ b/crates/gradeshunt/src/backend/pool.rs
@@ -13,7 +13,7 @@
 impl Backend {
     /// Takes the most recently used idle connection that may be used again out of the pool, and closes those
     /// that may not.
-    pub(super) fn lease(&mut self, turn: &mut Turn, member: MemberId) -> Option<ServerId> {
+    pub(super) fn take_reusable(&mut self, turn: &mut Turn, member: MemberId) -> Option<ServerId> {
         loop {
             let id = *self.hosts.get(&member)?.idle.last()?;
             let Some(denial) = self.reuse_denial(turn.now, id) else {
@@ -27,7 +27,7 @@
 
     /// Why an idle connection may not be used for another request, or `None` if it may.
     pub(super) fn reuse_denial(&self, now: Micros, id: ServerId) -> Option<ReuseDenial> {
-        let s = self.servers.get(&id)?;
+        let s = self.connections.get(&id)?;
         let host = self.hosts.get(&s.member)?;
         let Stage::Idle { until, .. } = s.stage else { return None };
         let pooled = PooledConnection {
@@ -42,12 +42,12 @@
     /// Closes a connection whose job has been taken.
     pub(super) fn close(&mut self, turn: &mut Turn, id: ServerId) {
         self.take_idle(turn, id);
-        let Some(s) = self.servers.remove(&id) else { return };
+        let Some(s) = self.connections.remove(&id) else { return };
         if let Some(host) = self.hosts.get_mut(&s.member) {
             host.servers -= 1;
             match s.stage {
                 Stage::Starting { by } => {
-                    host.starting -= 1;
+                    host.connecting -= 1;
                     turn.deadlines.clear(by, Due::Server(id));
                 }
                 Stage::AwaitsReady { by } | Stage::AwaitsClose { by, .. } => {
@@ -68,7 +68,7 @@
     /// Takes a connection out of the pool and resets it.
     pub(super) fn reset(&mut self, turn: &mut Turn, id: ServerId) {
         self.take_idle(turn, id);
-        if let Some(server) = self.servers.get_mut(&id) {
+        if let Some(server) = self.connections.get_mut(&id) {
             server.stage = Stage::Resetting;
         }
         self.close(turn, id);
@@ -76,7 +76,7 @@
 
     /// Takes a connection out of the pool.
     pub(super) fn take_idle(&mut self, turn: &mut Turn, id: ServerId) {
-        let Some(s) = self.servers.get(&id) else { return };
+        let Some(s) = self.connections.get(&id) else { return };
         if let (Stage::Idle { until, .. }, Some(host)) = (&s.stage, self.hosts.get_mut(&s.member)) {
             turn.deadlines.clear(*until, Due::Server(id));
             host.idle.retain(|i| *i != id);
@@ -90,7 +90,7 @@
 
     /// Closes the connection that has been idle longest; returns false if none is idle.
     pub fn close_oldest_idle(&mut self, turn: &mut Turn) -> bool {
-        let idle = self.servers.iter().filter_map(|(id, s)| match s.stage {
+        let idle = self.connections.iter().filter_map(|(id, s)| match s.stage {
             Stage::Idle { since, .. } => Some((since, *id)),
             Stage::Starting { .. }
             | Stage::Busy { .. }
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -48,7 +48,7 @@
             return self.write_failed(turn, exchange, id, why);
         }
         for _ in 0..READS_PER_TURN {
-            let Some(s) = self.servers.get_mut(&id) else { return };
+            let Some(s) = self.connections.get_mut(&id) else { return };
             if s.is_streaming() {
                 // What the frontend cannot take yet is left in the db host's connection;
                 // [`BackendCommand::Resume`](crate::exchange::BackendCommand::Resume) follows.
@@ -70,7 +70,7 @@
             }
             if let Some(why) = end {
                 // Reading meets the end again once the frontend has taken the data before it.
-                if self.servers.get(&id).is_some_and(|s| s.is_streaming() && !s.inbound.is_empty()) {
+                if self.connections.get(&id).is_some_and(|s| s.is_streaming() && !s.inbound.is_empty()) {
                     return;
                 }
                 return self.connection_failed(turn, exchange, id, &why);
@@ -90,7 +90,7 @@
             if self.pass_on_part(turn, exchange, id) {
                 continue;
             }
-            let Some(s) = self.servers.get_mut(&id) else { return Ok(()) };
+            let Some(s) = self.connections.get_mut(&id) else { return Ok(()) };
             if matches!(s.stage, Stage::AwaitsClose { .. }) {
                 // What arrives for an abandoned attempt is dropped.
                 s.inbound.consume(s.inbound.len());
@@ -177,7 +177,7 @@
     /// Passes on what has arrived of a long answer, as far as the frontend can take it. Returns whether some
     /// was passed on.
     fn pass_on_part(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) -> bool {
-        let Some(s) = self.servers.get_mut(&id) else { return false };
+        let Some(s) = self.connections.get_mut(&id) else { return false };
         let host = self.hosts.get_mut(&s.member);
         let Stage::Busy { job: Job::Attempt { id: attempt, .. }, reply, .. } = &mut s.stage else {
             return false;
@@ -227,7 +227,7 @@
         let Some((member, mut job, reply)) = self.take_job(id) else { return };
         // A duplicate is not this attempt's reply, and does not make the db host unhealthy.
         let ending = reply.ending().unwrap_or(Ending::Error);
-        match self.servers.get_mut(&id) {
+        match self.connections.get_mut(&id) {
             Some(s) if ending == Ending::Ok && !s.has_more_to_send() => {
                 job.set_connection_end(ConnectionEnd::AwaitsReady);
                 let by = turn.now + READY_TIMEOUT;
--- a/crates/gradeshunt/src/backend/sync_marker.rs
+++ b/crates/gradeshunt/src/backend/sync_marker.rs
@@ -28,7 +28,7 @@
 
 /// Number of recent answers that a connection remembers. A duplicate that arrives after more answers is not
 /// recognized.
-pub(super) const ANSWERS_KEPT: usize = 8;
+pub(super) const RECENT_ANSWERS: usize = 8;
 /// Time for which an answer is held back until its marker is answered. If it was a duplicate, the request's
 /// own answer may take as long as its execution; the marker itself is answered at once.
 const MARKER_TIMEOUT: Micros = 250_000;
@@ -145,18 +145,18 @@
     /// Whether an answer equals a recent one on this connection, so that it may be a duplicate; also known
     /// before its ReadyForQuery. Excluded are errors that report a position, which `repeats_error` checks
     /// once they are complete, and other refusals, which are too frequent.
-    pub(super) fn may_be_copy(&self, reply: &Reply) -> bool {
+    pub(super) fn may_be_duplicate(&self, reply: &Reply) -> bool {
         let is_checked = match reply.ending() {
             Some(Ending::Ok) => true,
             Some(Ending::Error) => reply.error_with_position().is_none(),
             _ => false,
         };
-        is_checked && answer_digest(reply).is_some_and(|digest| self.answers.contains(&digest))
+        is_checked && answer_digest(reply).is_some_and(|digest| self.recent_answers.contains(&digest))
     }
 
     /// Whether the current answer may be a duplicate.
     pub(super) fn may_hold_duplicate(&self) -> bool {
-        matches!(&self.stage, Stage::Busy { reply, .. } if self.may_be_copy(reply))
+        matches!(&self.stage, Stage::Busy { reply, .. } if self.may_be_duplicate(reply))
     }
 
     /// Whether the complete answer is to be held back for a marker.
@@ -167,9 +167,9 @@
 
     /// Remembers an answer, so that a duplicate that arrives after other answers is recognized.
     pub(super) fn remember_answer(&mut self, reply: &Reply) {
-        self.answers.extend(answer_digest(reply));
-        if self.answers.len() > ANSWERS_KEPT {
-            self.answers.pop_front();
+        self.recent_answers.extend(answer_digest(reply));
+        if self.recent_answers.len() > RECENT_ANSWERS {
+            self.recent_answers.pop_front();
         }
     }
 
@@ -238,7 +238,7 @@
     /// answered. A load report is accepted as it is, since an old one does no harm. An answer that arrived
     /// before its request was written completely cannot be checked this way, and is treated as malformed.
     pub(super) fn hold_for_marker(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+        let Some(s) = self.connections.get_mut(&id) else { return };
         let Stage::Busy { job, reply, ready_by } = &mut s.stage else { return };
         if !job.is_written() {
             return self.answer_malformed(turn, exchange, id, "an answer before its request was written");
@@ -272,7 +272,7 @@
 
     /// Whether the time for which an answer is held back has passed.
     pub(super) fn is_marker_due(&self, now: Micros, id: ServerId) -> bool {
-        let marker = self.servers.get(&id).and_then(|s| s.marker.as_ref());
+        let marker = self.connections.get(&id).and_then(|s| s.marker.as_ref());
         marker.and_then(SyncMarker::held_until).is_some_and(|by| by <= now)
     }
 
@@ -280,8 +280,8 @@
     /// request fails rather than being sent again, since it may still be running on this connection. The
     /// connection may be used again: answers before the marker's are discarded. After an error that may
     /// belong to another request the connection is given up, so that the request may be sent again.
-    pub(super) fn marker_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+    pub(super) fn marker_timed_out(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
+        let Some(s) = self.connections.get_mut(&id) else { return };
         let (member, by) = (s.member, turn.now);
         exchange.record_answer_check(turn, member, AnswerCheck::Unknown);
         let held = s.marker.as_mut().and_then(SyncMarker::release_held);
--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -13,7 +13,7 @@
 
 use super::connection::{HostConnection, Stage};
 use super::ending::HOST_END_TIMEOUT;
-use super::hosts::Listed;
+use super::hosts::ListedHost;
 use super::jobs::unsent_ending;
 use super::Backend;
 use crate::deadlines::Due;
@@ -108,7 +108,7 @@
         backend.set_max_connections(&mut turn, 10);
         let host = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
         let addr = host.local_addr().expect("no local address");
-        let listed = Listed { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
+        let listed = ListedHost { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
         backend.apply_list(&mut turn, &mut exchange, ListKind::Full, &[listed]);
         Fixture { backend, exchange, turn, host, _poll: poll }
     }
@@ -116,7 +116,7 @@
     /// Lets the backend handle what has arrived until `done` holds.
     fn until(&mut self, done: impl Fn(&Backend) -> bool) {
         while !done(&self.backend) {
-            let servers: Vec<_> = self.backend.servers.keys().copied().collect();
+            let servers: Vec<_> = self.backend.connections.keys().copied().collect();
             for id in servers {
                 self.backend.handle_socket_ready(&mut self.turn, &mut self.exchange, id);
             }
@@ -131,7 +131,7 @@
         server
             .write_all(&Writer::default().message(b'R', &[&[0; 4]]).ready().0)
             .expect("the connection is closed");
-        self.until(|backend| backend.hosts[&MEMBER].starting == 0);
+        self.until(|backend| backend.hosts[&MEMBER].connecting == 0);
         server.write_all(&report()).expect("the connection is closed");
         self.until(|backend| backend.hosts[&MEMBER].idle.len() == 1);
         server
@@ -167,7 +167,7 @@
         self.turn.now += time;
         while let Some(due) = self.turn.deadlines.pop(self.turn.now) {
             if let Due::Server(id) = due {
-                self.backend.server_due(&mut self.turn, &mut self.exchange, id);
+                self.backend.connection_due(&mut self.turn, &mut self.exchange, id);
             }
         }
     }
@@ -180,14 +180,14 @@
     let mut fixture = Fixture::open();
     let _server = fixture.pool_connection();
     let id = fixture.backend.hosts[&MEMBER].idle[0];
-    let Stage::Idle { until, .. } = fixture.backend.servers[&id].stage else {
+    let Stage::Idle { until, .. } = fixture.backend.connections[&id].stage else {
         panic!("the connection is not idle")
     };
     fixture.turn.now = until - 1;
     assert_eq!(fixture.backend.reuse_denial(fixture.turn.now, id), None);
     fixture.turn.now = until;
-    assert_eq!(fixture.backend.lease(&mut fixture.turn, MEMBER), None);
-    assert!(fixture.backend.servers.is_empty(), "the connection is still open");
+    assert_eq!(fixture.backend.take_reusable(&mut fixture.turn, MEMBER), None);
+    assert!(fixture.backend.connections.is_empty(), "the connection is still open");
 }
 
 /// Once a db host is listed at another address, a connection to the former one must not be used again.
@@ -199,13 +199,13 @@
     let addr = moved.local_addr().expect("no local address");
     // A job is out on the connection, so that the change of address does not close it.
     fixture.backend.execute(&mut fixture.turn, &mut fixture.exchange, BackendCommand::Probe(MEMBER));
-    let listed = Listed { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
+    let listed = ListedHost { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
     fixture.backend.apply_list(&mut fixture.turn, &mut fixture.exchange, ListKind::Full, &[listed]);
-    assert_eq!(fixture.backend.servers.len(), 1);
+    assert_eq!(fixture.backend.connections.len(), 1);
     server.write_all(&[empty_query_answer(), report()].concat()).expect("the connection is closed");
     fixture.until(|backend| backend.probes.is_empty());
-    assert_eq!(fixture.backend.lease(&mut fixture.turn, MEMBER), None);
-    assert!(fixture.backend.servers.is_empty(), "the connection is still open");
+    assert_eq!(fixture.backend.take_reusable(&mut fixture.turn, MEMBER), None);
+    assert!(fixture.backend.connections.is_empty(), "the connection is still open");
 }
 
 /// In a long turn, the time for ReadyForQuery may pass while ReadyForQuery has arrived but is unread. The
@@ -223,17 +223,17 @@
     let error = Writer::default().message(b'E', &[b"SERROR\0CXX000\0Mbroken\0\0"]).0;
     server.write_all(&[empty_query_answer(), error].concat()).expect("the connection is closed");
     let awaits_ready = |s: &HostConnection| matches!(s.stage, Stage::Busy { ready_by: Some(_), .. });
-    fixture.until(|backend| backend.servers.values().any(awaits_ready));
+    fixture.until(|backend| backend.connections.values().any(awaits_ready));
     server.write_all(&Writer::default().ready().0).expect("the connection is closed");
-    while fixture.backend.servers.values().all(|s| s.polled.is_quiet()) {}
+    while fixture.backend.connections.values().all(|s| s.polled.is_quiet()) {}
     fixture.turn.now += PATIENCE / 2;
     while let Some(due) = fixture.turn.deadlines.pop(fixture.turn.now) {
         if let Due::Server(id) = due {
-            fixture.backend.server_due(&mut fixture.turn, &mut fixture.exchange, id);
+            fixture.backend.connection_due(&mut fixture.turn, &mut fixture.exchange, id);
         }
     }
     assert!(fixture.backend.attempts.is_empty(), "the attempt has not ended");
-    assert!(fixture.backend.servers.is_empty(), "the connection is still open");
+    assert!(fixture.backend.connections.is_empty(), "the connection is still open");
 }
 
 /// A db host may notice the end of an attempt's connection after it has read another connection's bytes. The
@@ -248,7 +248,7 @@
     fixture.pass(HOST_END_TIMEOUT - 1);
     assert!(fixture.backend.attempts.contains_key(&attempt), "the attempt ended before its connection");
     drop(server);
-    fixture.until(|backend| backend.servers.is_empty());
+    fixture.until(|backend| backend.connections.is_empty());
     assert!(fixture.backend.attempts.is_empty(), "the connection has ended, but the attempt counts as out");
 }
 
@@ -260,7 +260,7 @@
     let (mut server, attempt) = fixture.start_attempt();
     fixture.backend.give_up(&mut fixture.turn, &mut fixture.exchange, attempt, Ending::Timeout);
     fixture.pass(HOST_END_TIMEOUT);
-    assert!(fixture.backend.attempts.is_empty() && fixture.backend.servers.is_empty());
+    assert!(fixture.backend.attempts.is_empty() && fixture.backend.connections.is_empty());
     assert_eq!(server.read(&mut [0]).expect("the connection is not closed"), 0);
     let answer = Writer::default().ready().0;
     while server.write_all(&answer).is_ok() {}
--- a/crates/gradeshunt/src/backend/tests/late_copies.rs
+++ b/crates/gradeshunt/src/backend/tests/late_copies.rs
@@ -42,7 +42,7 @@
             )
             .expect("the connection is closed");
         let awaits_ready = |s: &HostConnection| matches!(s.stage, Stage::Busy { ready_by: Some(_), .. });
-        self.until(|backend| backend.servers.values().any(awaits_ready));
+        self.until(|backend| backend.connections.values().any(awaits_ready));
         self.pass(READY_GRACE);
         server.write_all(&ready()).expect("the connection is closed");
         self.until(|backend| backend.hosts[&MEMBER].idle.len() == 1);
@@ -87,7 +87,7 @@
     server
         .write_all(&Writer::default().message(b'R', &[&[0; 4]]).ready().0)
         .expect("the connection is closed");
-    fixture.until(|backend| backend.hosts[&PEER].starting == 0);
+    fixture.until(|backend| backend.hosts[&PEER].connecting == 0);
     server.write_all(&value(b"one")).expect("the connection is closed");
     fixture.until(|backend| backend.attempts.is_empty());
     fixture.backend.execute(&mut fixture.turn, &mut fixture.exchange, command(1));
--- a/crates/gradeshunt/src/backend/tests/written_attempts.rs
+++ b/crates/gradeshunt/src/backend/tests/written_attempts.rs
@@ -15,7 +15,7 @@
     /// taken yet.
     fn attempt_before_an_unwritten_marker(&mut self) -> (TcpStream, AttemptId, ServerId) {
         let (server, attempt) = self.start_attempt();
-        let (id, connection) = self.backend.servers.iter_mut().next().expect("no connection");
+        let (id, connection) = self.backend.connections.iter_mut().next().expect("no connection");
         assert!(connection.outbound.push(&Writer::default().query(&[b""]).0));
         (server, attempt, *id)
     }
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -7,7 +7,7 @@
 use leadmast::{ListKind, Micros, RequestId};
 use slog::{warn, Logger};
 
-use crate::backend::Listed;
+use crate::backend::ListedHost;
 use crate::config::Config;
 use crate::deadlines::Due;
 use crate::discovery::{self, Discovery, News};
@@ -40,7 +40,7 @@
 /// A list of db hosts that the module has heard of.
 pub struct List {
     pub(crate) kind: ListKind,
-    pub(crate) listed: Vec<Listed>,
+    pub(crate) listed: Vec<ListedHost>,
 }
 
 impl List {
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -12,7 +12,7 @@
 use serde_json::value::RawValue;
 use serde_json::Value;
 
-use crate::backend::Listed;
+use crate::backend::ListedHost;
 use crate::clock::Clock;
 use crate::unix_time::STEP_TOLERANCE;
 
@@ -25,7 +25,7 @@
 pub struct News {
     pub kind: ListKind,
     pub entries: Vec<Entry>,
-    pub listed: Vec<Listed>,
+    pub listed: Vec<ListedHost>,
     /// How many entries were passed over, and what is wrong with the first.
     pub unreadable: usize,
     pub why: Vec<String>,
@@ -117,7 +117,7 @@
             let entry = serde_json::from_str(raw.get()).map_err(|e| format!("an instance that is none: {e}"));
             match entry.and_then(|v| self.entry(clock, &v)) {
                 Ok((id, entry, addr)) => {
-                    news.listed.push(Listed { id, member: entry.member, addr, phase: entry.phase });
+                    news.listed.push(ListedHost { id, member: entry.member, addr, phase: entry.phase });
                     news.entries.push(entry);
                 }
                 Err(what) => {
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -23,11 +23,11 @@
         let at = turn.clock.now();
         let Some(r) = self.requests.get_mut(&attempt.request) else { return };
         // The client left before anything was written, so this attempt should not have been written.
-        if r.client_left_at.is_some() && !r.written {
+        if r.client_left_at.is_some() && !r.any_attempt_written {
             self.summary_counts.sent_after_gone += 1;
             self.figures.sent_after_gone += 1;
         }
-        r.written = true;
+        r.any_attempt_written = true;
         // Forwarding to another proxy is not an attempt: that proxy checks the rules for the attempts that it
         // makes.
         if attempt.is_forward() {
--- a/crates/gradeshunt/src/exchange/client_side.rs
+++ b/crates/gradeshunt/src/exchange/client_side.rs
@@ -59,7 +59,7 @@
     pub fn client_gone(&mut self, turn: &mut Turn, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.client_left_at = Some(turn.now);
-        let (written, begun, forwarded) = (r.written, r.answer_begun, r.forward.is_some());
+        let (written, begun, forwarded) = (r.any_attempt_written, r.answer_begun, r.forward.is_some());
         let attempt =
             r.active_attempt.as_ref().map(|active| AttemptId { request: id, number: active.number });
         if self.mark_over(turn, id) {
@@ -101,8 +101,8 @@
     /// has yet to read.
     pub fn update_unread(&mut self, id: RequestId, got: usize, held: usize) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return };
-        r.queued = r.queued.saturating_sub(got);
-        r.room = MAX_BUFFERED_ANSWER.saturating_sub(held + r.queued);
+        r.queued_bytes = r.queued_bytes.saturating_sub(got);
+        r.room = MAX_BUFFERED_ANSWER.saturating_sub(held + r.queued_bytes);
         if let (Some(active), true) = (&r.active_attempt, r.awaits_room && r.room > 0) {
             r.awaits_room = false;
             self.backend_commands
--- a/crates/gradeshunt/src/exchange/final_answers.rs
+++ b/crates/gradeshunt/src/exchange/final_answers.rs
@@ -26,7 +26,7 @@
         for id in open {
             let Some(r) = self.requests.get(&id) else { continue };
             let retry_after = self.retry_after(r.class);
-            let answer = match (r.answer_begun, r.outcome_unknown_since.is_some() || r.written) {
+            let answer = match (r.answer_begun, r.outcome_unknown_since.is_some() || r.any_attempt_written) {
                 (true, _) => FinalAnswer::Interrupted,
                 (false, true) => FinalAnswer::Failed(None),
                 (false, false) => FinalAnswer::Refused { retry_after },
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -120,7 +120,7 @@
         let Some(forward) = r.forward.take() else { return };
         let (over, begun, group) = (r.is_over, r.answer_begun, r.group);
         let again_at = r.settled_at.map_or(turn.now, |settled| settled.max(turn.now));
-        let leaving = matches!(host_reply, HostReply::Leaving);
+        let leaving = matches!(host_reply, HostReply::ShuttingDown);
         let ran = !ending.never_ran() && !leaving;
         if ran {
             r.outcome_unknown_since.get_or_insert(active.begun_at);
@@ -149,10 +149,12 @@
                 FinalAnswer::Refused { retry_after },
                 Some(FinalReason::HomeRefused),
             ),
-            HostReply::Nothing | HostReply::Leaving if !ran || self.may_repeat(turn.now, id, again_at) => {
+            HostReply::Nothing | HostReply::ShuttingDown
+                if !ran || self.may_repeat(turn.now, id, again_at) =>
+            {
                 self.forward_at(turn, id, *forward, again_at);
             }
-            HostReply::Nothing | HostReply::Leaving => {
+            HostReply::Nothing | HostReply::ShuttingDown => {
                 self.give_final_answer(turn, id, FinalAnswer::Failed(None), Some(FinalReason::MayHaveRun))
             }
         }
@@ -200,7 +202,7 @@
                 placing.answered(turn.now, active.member, group);
             }
             (HostReply::Nothing, Ending::Moot | Ending::Cancelled | Ending::Ok | Ending::Error) => {}
-            (HostReply::Leaving, _) | (HostReply::Nothing, _) => {
+            (HostReply::ShuttingDown, _) | (HostReply::Nothing, _) => {
                 if placing.failed(turn.now, active.member) {
                     let name = placing.name(active.member).map(str::to_owned);
                     warn!(turn.log, "home proxy is unavailable"; "ending" => endings::ending_name(ending), "name" => name);
--- a/crates/gradeshunt/src/exchange/messages.rs
+++ b/crates/gradeshunt/src/exchange/messages.rs
@@ -175,7 +175,7 @@
         retry_after: Option<Micros>,
     },
     /// The proxy that received the request is shutting down and has not read it.
-    Leaving,
+    ShuttingDown,
     /// A reply that may answer another request; this request may still be running on the db host.
     PossibleDuplicate,
 }
--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -44,7 +44,7 @@
     pub(super) attempts_begun: u32,
     pub(super) active_attempt: Option<ActiveAttempt>,
     /// Whether an attempt was written completely.
-    pub(super) written: bool,
+    pub(super) any_attempt_written: bool,
     /// When the first attempt that may have run was started.
     pub(super) outcome_unknown_since: Option<Micros>,
     /// The time from which another attempt may start, where a connection of an earlier one was closed.
@@ -66,7 +66,7 @@
     /// Bytes of the answer that the frontend can take now.
     pub(super) room: usize,
     /// Bytes of the answer that are queued for the frontend.
-    pub(super) queued: usize,
+    pub(super) queued_bytes: usize,
     /// Whether the backend waits for more room.
     pub(super) awaits_room: bool,
 }
@@ -93,7 +93,7 @@
             body: Rc::new(body),
             attempts_begun: 0,
             active_attempt: None,
-            written: false,
+            any_attempt_written: false,
             outcome_unknown_since: None,
             settled_at: None,
             client_left_at: None,
@@ -104,7 +104,7 @@
             forward: None,
             answer_begun: false,
             room: MAX_BUFFERED_ANSWER,
-            queued: 0,
+            queued_bytes: 0,
             awaits_room: false,
         }
     }
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -36,7 +36,7 @@
         let Some(active) = r.active_attempt.as_ref().filter(|o| o.number == attempt.number) else { return };
         let (member, elapsed) = (active.member, turn.now - active.begun_at);
         r.room = r.room.saturating_sub(bytes.len());
-        r.queued += bytes.len();
+        r.queued_bytes += bytes.len();
         self.answers.push_back((id, Answer::Part(bytes)));
         if !std::mem::replace(&mut r.answer_begun, true) {
             turn.deadlines.clear(r.deadline + self.answer_slack, Due::Overdue(id));
@@ -91,7 +91,7 @@
                 r.last_error = Some(bytes);
                 None
             }
-            HostReply::Nothing | HostReply::Refused { .. } | HostReply::Leaving => None,
+            HostReply::Nothing | HostReply::Refused { .. } | HostReply::ShuttingDown => None,
         };
         let last = over || answer.is_some();
         let interrupted = matches!(answer, Some((FinalAnswer::Interrupted, _)));
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -216,7 +216,7 @@
             exchange.set_held_out(turn, l.member, true);
             self.backend.set_held_out(turn, exchange, l.member, true);
         }
-        let lost = |l: &&backend::Listed| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
+        let lost = |l: &&backend::ListedHost| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
         for member in list.listed.iter().filter(lost).map(|l| l.member).collect::<Vec<_>>() {
             exchange.set_held_out(turn, member, true);
         }
@@ -268,7 +268,7 @@
             Due::Attempt(id) => self.backend.attempt_due(turn, exchange, id),
             Due::Probe(member) => self.backend.probe_due(turn, exchange, member),
             Due::Connect(member) => self.backend.connect_due(turn, exchange, member),
-            Due::Server(id) => self.backend.server_due(turn, exchange, id),
+            Due::Server(id) => self.backend.connection_due(turn, exchange, id),
             Due::Session(id) => self.frontend.session_due(turn, id),
             Due::Accept => self.frontend.accept(turn),
             Due::AcceptPeers => self.frontend.accept_peers(turn),
