--- a/crates/gradeshunt/src/backend.rs
+++ b/crates/gradeshunt/src/backend.rs
@@ -116,11 +116,11 @@
     pub fn attempt_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: AttemptId) {
         // A long answer that has begun is read for as long as it makes progress.
         if let Some((until, JobPlace::On(server))) = self.attempts.get_mut(&id) {
-            let passed = self.connections.get(server).and_then(|s| match &s.stage {
+            let last_passed_on = self.connections.get(server).and_then(|s| match &s.stage {
                 Stage::Busy { reply, .. } => reply.last_passed_on,
                 _ => None,
             });
-            if let Some(at) = passed.map(|at| at + STALL_TIMEOUT).filter(|at| *at > turn.now) {
+            if let Some(at) = last_passed_on.map(|at| at + STALL_TIMEOUT).filter(|at| *at > turn.now) {
                 *until = at;
                 return turn.deadlines.set(at, Due::Attempt(id));
             }
--- a/crates/gradeshunt/src/backend/failures.rs
+++ b/crates/gradeshunt/src/backend/failures.rs
@@ -76,8 +76,9 @@
         match std::mem::replace(&mut s.stage, Stage::Resetting) {
             Stage::Busy { mut job, reply, .. } => {
                 job.set_connection_end(ConnectionEnd::Reset);
-                let may_be_copy = s.marker.is_some() || s.repeats_error(&reply) || s.may_be_duplicate(&reply);
-                let reply = if may_be_copy { Reply::default() } else { reply };
+                let may_be_duplicate =
+                    s.marker.is_some() || s.repeats_error(&reply) || s.may_be_duplicate(&reply);
+                let reply = if may_be_duplicate { Reply::default() } else { reply };
                 Some((s.member, job, reply))
             }
             other => {
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -182,7 +182,7 @@
         if matches!(s.stage, Stage::Idle { until, .. } if turn.clock.now() > until + SUSPENSION_TOLERANCE) {
             exchange.record_violation(turn, Rule::ExpiredConnection, None);
         }
-        let mut sending = WriteProgress::default();
+        let mut write_progress = WriteProgress::default();
         let begin = s.begin_request();
         let pushed = match &mut job {
             Job::Attempt { id: attempt, body, until, write_by, trace, .. } => {
@@ -200,7 +200,7 @@
                 // A plain statement does not tell the db host how long the client waits.
                 if body.states_wait() {
                     let wait_accurate_until = Some(now + holds_for);
-                    sending = WriteProgress {
+                    write_progress = WriteProgress {
                         stated_wait: Some(wait_ms * 1000),
                         wait_accurate_until,
                         begun: false,
@@ -225,7 +225,7 @@
             Job::Probe { .. } => AnswerForm::Value,
         };
         s.stage = Stage::Busy { job, reply: Reply { form, ..Reply::default() }, ready_by: None };
-        s.write_progress = sending;
+        s.write_progress = write_progress;
         let flushed = if pushed {
             self.flush(turn, exchange, id)
         } else {
@@ -282,12 +282,12 @@
         exchange: &mut Exchange,
         place: JobPlace,
         ending: Ending,
-        is_it: impl Fn(&Job) -> bool,
+        is_match: impl Fn(&Job) -> bool,
     ) {
         match place {
             JobPlace::Waiting(member) => {
                 let Some(host) = self.hosts.get_mut(&member) else { return };
-                let Some(at) = host.waiting.iter().position(is_it) else { return };
+                let Some(at) = host.waiting.iter().position(is_match) else { return };
                 let Some(job) = host.waiting.remove(at) else { return };
                 // Its connection keeps connecting, for the next job. Nothing of an attempt was sent.
                 let ending = match job {
@@ -303,13 +303,18 @@
             JobPlace::On(id) => {
                 let Some((member, job, reply)) = self.take_job(id) else { return };
                 // A complete answer counts even though ReadyForQuery is missing.
-                let ends = reply.ending().unwrap_or(job.ending_without_answer(ending, Ending::Moot));
+                let job_ending = reply.ending().unwrap_or(job.ending_without_answer(ending, Ending::Moot));
                 // Nobody waits for a cancelled attempt, and no other attempt follows it.
                 if ending == Ending::Cancelled {
                     self.close(turn, id);
-                    return self.end_job(turn, exchange, member, job, ends, reply);
+                    return self.end_job(turn, exchange, member, job, job_ending, reply);
                 }
-                self.end_with_connection(turn, exchange, id, AbandonedAttempt { job, ending: ends, reply });
+                self.end_with_connection(
+                    turn,
+                    exchange,
+                    id,
+                    AbandonedAttempt { job, ending: job_ending, reply },
+                );
             }
         }
     }
@@ -332,7 +337,7 @@
                 debug!(turn.log, "attempt ended"; "request" => id.request.0, "number" => id.number,
                     "member" => member.0, "ending" => ending_name(ending));
                 let note = self.hosts.get_mut(&member).and_then(|host| host.note(turn, &reply));
-                let said = match ending {
+                let host_reply = match ending {
                     Ending::Ok => HostReply::Answer(reply.bytes),
                     Ending::Error if reply.error.as_deref().is_some_and(sqlstate::is_verdict) => {
                         HostReply::StatementError(reply.bytes)
@@ -354,7 +359,7 @@
                 self.report_verified_positions(turn, exchange, member);
                 exchange.attempt_ended(
                     turn,
-                    AttemptEnd { attempt: id, ending, note, reply: said, trace: *trace },
+                    AttemptEnd { attempt: id, ending, note, reply: host_reply, trace: *trace },
                 );
             }
             Job::Probe { since, .. } => {
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -126,10 +126,10 @@
                 return Ok(());
             };
             let (tag, size) = (message.tag, message.size);
-            let marked = handle_marker_message(&mut s.marker, &mut s.stage, &message)?;
-            if marked != MarkerStep::NotForMarker {
+            let step = handle_marker_message(&mut s.marker, &mut s.stage, &message)?;
+            if step != MarkerStep::NotForMarker {
                 s.inbound.consume(size);
-                match marked {
+                match step {
                     MarkerStep::AnswerChecked(found) => {
                         exchange.record_answer_check(turn, s.member, found);
                         self.connection_ready(turn, exchange, id);
@@ -141,7 +141,7 @@
                 }
                 continue;
             }
-            let up = match &mut s.stage {
+            let is_ready = match &mut s.stage {
                 Stage::Starting { .. } => match tag {
                     b'R' if message.body != [0; 4] => {
                         return Err(Malformed("the db host requires password authentication"))
@@ -166,9 +166,9 @@
                 Stage::Busy { reply, .. } => reply.handle_message(&message)?,
             };
             s.inbound.consume(size);
-            if up && s.must_hold_answer() {
+            if is_ready && s.must_hold_answer() {
                 self.hold_for_marker(turn, exchange, id);
-            } else if up {
+            } else if is_ready {
                 self.connection_ready(turn, exchange, id);
             }
         }
--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -37,7 +37,7 @@
     exchange: Exchange,
     turn: Turn,
     host: TcpListener,
-    _poll: calloop::EventLoop<'static, Ready>,
+    _event_loop: calloop::EventLoop<'static, Ready>,
 }
 
 const MEMBER: MemberId = MemberId(0);
@@ -93,8 +93,8 @@
 
     /// Like `open`, with `edit` applied to the configuration.
     fn open_with(edit: impl Fn(&mut serde_json::Value)) -> Fixture {
-        let poll = calloop::EventLoop::<Ready>::try_new().expect("cannot create an event loop");
-        let mut turn = Turn::new(poll.handle(), slog::Logger::root(slog::Discard, slog::o!()));
+        let event_loop = calloop::EventLoop::<Ready>::try_new().expect("cannot create an event loop");
+        let mut turn = Turn::new(event_loop.handle(), slog::Logger::root(slog::Discard, slog::o!()));
         turn.now = 0;
         let config = std::fs::read_to_string("../../examples/config.json")
             .expect("cannot read the example configuration");
@@ -110,7 +110,7 @@
         let addr = host.local_addr().expect("no local address");
         let listed = ListedHost { id: "s".to_owned(), member: MEMBER, addr, phase: Phase::Up };
         backend.apply_list(&mut turn, &mut exchange, ListKind::Full, &[listed]);
-        Fixture { backend, exchange, turn, host, _poll: poll }
+        Fixture { backend, exchange, turn, host, _event_loop: event_loop }
     }
 
     /// Lets the backend handle what has arrived until `done` holds.
--- a/crates/gradeshunt/src/exchange/client_side.rs
+++ b/crates/gradeshunt/src/exchange/client_side.rs
@@ -97,12 +97,12 @@
         self.handle_event(turn, Event::Gone { request: id });
     }
 
-    /// The frontend has received `got` more bytes of a long answer, and buffers `held` bytes that its client
-    /// has yet to read.
-    pub fn update_unread(&mut self, id: RequestId, got: usize, held: usize) {
+    /// The frontend has received `received` more bytes of a long answer, and buffers `buffered` bytes that its
+    /// client has yet to read.
+    pub fn update_unread(&mut self, id: RequestId, received: usize, buffered: usize) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return };
-        r.queued_bytes = r.queued_bytes.saturating_sub(got);
-        r.room = MAX_BUFFERED_ANSWER.saturating_sub(held + r.queued_bytes);
+        r.queued_bytes = r.queued_bytes.saturating_sub(received);
+        r.room = MAX_BUFFERED_ANSWER.saturating_sub(buffered + r.queued_bytes);
         if let (Some(active), true) = (&r.active_attempt, r.awaits_room && r.room > 0) {
             r.awaits_room = false;
             self.backend_commands
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -34,13 +34,13 @@
         // Another proxy can stand in for a db host only for requests that state their wait time and return
         // one value.
         let body = self.requests.get(&id).map(|r| &r.body);
-        let plain = body.is_none_or(|b| !b.states_wait() || b.form != AnswerForm::Value);
+        let is_not_forwardable = body.is_none_or(|b| !b.states_wait() || b.form != AnswerForm::Value);
         let Some(placing) = &mut self.placing else { return self.serve_here(turn, arrival) };
         if source == Source::Proxy {
             placing.counts.taken += 1;
             return self.serve_here(turn, arrival);
         }
-        if plain {
+        if is_not_forwardable {
             placing.counts.direct += 1;
             return self.serve_here(turn, arrival);
         }
@@ -72,15 +72,19 @@
     fn forward_to(&mut self, turn: &mut Turn, id: RequestId, peer: MemberId, mut forward: Forward) {
         let Some(r) = self.requests.get(&id) else { return };
         // Leaves time for the home's answer to reach this proxy.
-        let last = r.deadline - self.forward_time;
-        if last <= turn.now {
+        let latest_end = r.deadline - self.forward_time;
+        if latest_end <= turn.now {
             return self.refuse(turn, id);
         }
         // A home that has answered lately is given all of the time. For one that may be unresponsive, a
         // request that may be repeated keeps half of the time for the next home.
-        let half = turn.now + (r.deadline - turn.now) / 2;
-        let heard = self.placing.as_ref().is_some_and(|placing| placing.is_heard(turn.now, peer));
-        let until = if !heard && self.may_repeat(turn.now, id, half) { half.min(last) } else { last };
+        let halfway = turn.now + (r.deadline - turn.now) / 2;
+        let is_responsive = self.placing.as_ref().is_some_and(|placing| placing.is_heard(turn.now, peer));
+        let until = if !is_responsive && self.may_repeat(turn.now, id, halfway) {
+            halfway.min(latest_end)
+        } else {
+            latest_end
+        };
         forward.tried.push(peer);
         let number = FIRST_FORWARD + forward.tried.len() as u32;
         debug!(turn.log, "request forwarded to a home proxy"; "request" => id.0, "member" => peer.0);
@@ -120,9 +124,9 @@
         let Some(forward) = r.forward.take() else { return };
         let (over, begun, group) = (r.is_over, r.answer_begun, r.group);
         let again_at = r.settled_at.map_or(turn.now, |settled| settled.max(turn.now));
-        let leaving = matches!(host_reply, HostReply::ShuttingDown);
-        let ran = !ending.never_ran() && !leaving;
-        if ran {
+        let is_shutting_down = matches!(host_reply, HostReply::ShuttingDown);
+        let may_have_run = !ending.never_ran() && !is_shutting_down;
+        if may_have_run {
             r.outcome_unknown_since.get_or_insert(active.begun_at);
         }
         self.record_forward_end(turn, &active, ending, &host_reply, group);
@@ -150,7 +154,7 @@
                 Some(FinalReason::HomeRefused),
             ),
             HostReply::Nothing | HostReply::ShuttingDown
-                if !ran || self.may_repeat(turn.now, id, again_at) =>
+                if !may_have_run || self.may_repeat(turn.now, id, again_at) =>
             {
                 self.forward_at(turn, id, *forward, again_at);
             }
--- a/crates/gradeshunt/src/exchange/tests.rs
+++ b/crates/gradeshunt/src/exchange/tests.rs
@@ -18,7 +18,7 @@
     exchange: Exchange,
     turn: Turn,
     first: AttemptId,
-    _poll: calloop::EventLoop<'static, Ready>,
+    _event_loop: calloop::EventLoop<'static, Ready>,
 }
 
 fn entry(number: u32) -> Entry {
@@ -48,8 +48,8 @@
 
     /// Like `open`, with `effect` in place of the class's own effect.
     fn open_with(effect: Option<Effect>) -> Fixture {
-        let poll = calloop::EventLoop::<Ready>::try_new().expect("cannot create an event loop");
-        let mut turn = Turn::new(poll.handle(), slog::Logger::root(slog::Discard, slog::o!()));
+        let event_loop = calloop::EventLoop::<Ready>::try_new().expect("cannot create an event loop");
+        let mut turn = Turn::new(event_loop.handle(), slog::Logger::root(slog::Discard, slog::o!()));
         turn.now = turn.clock.now();
         let config = std::fs::read_to_string("../../examples/config.json")
             .expect("cannot read the example configuration");
@@ -77,7 +77,7 @@
         };
         exchange.submit(&mut turn, call);
         let first = next_started_attempt(&mut exchange).expect("no attempt was started");
-        Fixture { exchange, turn, first, _poll: poll }
+        Fixture { exchange, turn, first, _event_loop: event_loop }
     }
 
     /// Writes the first attempt, ends it with an error and `connection_end`, and writes the next one. Returns
