--- a/crates/gradeshunt/src/backend.rs
+++ b/crates/gradeshunt/src/backend.rs
@@ -71,7 +71,7 @@
         while self.connections.len() > most && self.close_oldest_idle(turn) {}
     }
 
-    // ---- Orders ----
+    // ---- Commands ----
 
     pub fn execute(&mut self, turn: &mut Turn, exchange: &mut Exchange, command: BackendCommand) {
         match command {
@@ -87,7 +87,7 @@
                 };
                 self.begin_job(turn, exchange, member, job);
             }
-            // One probe at a time per db host: the one that is out answers this command too.
+            // One probe at a time per db host: the one that is out answers this one too.
             BackendCommand::Probe(member) if self.probes.contains_key(&member) => {}
             BackendCommand::Probe(member) => {
                 self.begin_job(turn, exchange, member, Job::Probe { since: turn.now, written: None });
@@ -153,7 +153,9 @@
                 self.marker_timed_out(turn, exchange, id)
             }
             Some(Stage::AwaitsReady { by }) if *by <= turn.now => self.close(turn, id),
-            Some(Stage::AwaitsClose { by, .. }) if *by <= turn.now => self.finish_ending(turn, exchange, id),
+            Some(Stage::AwaitsClose { by, .. }) if *by <= turn.now => {
+                self.finish_abandoned(turn, exchange, id)
+            }
             _ => {}
         }
     }
--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -150,13 +150,13 @@
         let Some(host) = self.hosts.get_mut(&member) else { return Ok(()) };
         let id = ServerId(self.next_connection);
         self.next_connection += 1;
-        let polled = Polled::connect(turn, host.addr, Source::Server(id))?;
+        let polled = Polled::connect(turn, host.address, Source::Server(id))?;
         polled.hold_little(SEND_BUFFER);
         let by = turn.now + self.connection_settings.connect_timeout;
         let mut s = HostConnection {
             polled,
             member,
-            addr: host.addr,
+            addr: host.address,
             inbound: Ring::default(),
             outbound: Ring::default(),
             stage: Stage::Starting { by },
@@ -175,7 +175,7 @@
             return Err(io::ErrorKind::OutOfMemory.into());
         }
         host.connecting += 1;
-        host.servers += 1;
+        host.connection_count += 1;
         turn.deadlines.set(by, Due::Server(id));
         self.connections.insert(id, s);
         Ok(())
@@ -185,7 +185,7 @@
     /// waiting job, or else pools it.
     pub(super) fn connection_ready(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some((member, former)) = self.make_idle(turn, id) else { return };
-        let has_rest = self.has_rest_of_request(id, &former);
+        let has_rest = self.has_unsent_request_bytes(id, &former);
         if has_rest {
             self.reset(turn, id);
         }
@@ -224,7 +224,7 @@
     /// Whether bytes of the last request would still be sent if the connection were used again. An answer may
     /// arrive before its request is written completely, and the rest must not be sent. The kernel is asked
     /// only after errors: a value is made from the complete request.
-    fn has_rest_of_request(&self, id: ServerId, former: &Stage) -> bool {
+    fn has_unsent_request_bytes(&self, id: ServerId, former: &Stage) -> bool {
         let is_error = matches!(former, Stage::Busy { reply, .. } if reply.error.is_some());
         let holds_rest = |s: &HostConnection| !s.outbound.is_empty() || (is_error && s.has_more_to_send());
         self.connections.get(&id).is_some_and(holds_rest)
--- a/crates/gradeshunt/src/backend/discard.rs
+++ b/crates/gradeshunt/src/backend/discard.rs
@@ -32,7 +32,7 @@
     }
 
     /// Discards the available bytes up to an EmptyQueryResponse.
-    pub(super) fn take(&mut self, inbound: &mut Ring) -> Result<Discarded, Malformed> {
+    pub(super) fn discard_available(&mut self, inbound: &mut Ring) -> Result<Discarded, Malformed> {
         loop {
             let taken = self.left.min(inbound.len());
             inbound.consume(taken);
--- a/crates/gradeshunt/src/backend/ending.rs
+++ b/crates/gradeshunt/src/backend/ending.rs
@@ -42,7 +42,7 @@
 impl Backend {
     /// Gives up an attempt that was taken from its connection. Where another attempt may follow, it ends once
     /// the db host has closed the connection; else, or if the db host takes too long, with a reset.
-    pub(super) fn end_with_connection(
+    pub(super) fn abandon_with_connection(
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
@@ -63,13 +63,13 @@
             // again.
             turn.again.push(Source::Server(id));
         } else {
-            self.finish_ending(turn, exchange, id);
+            self.finish_abandoned(turn, exchange, id);
         }
     }
 
     /// The db host has closed the connection of an attempt that was given up, or has not done so in time:
     /// resets the connection and ends the attempt.
-    pub(super) fn finish_ending(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
+    pub(super) fn finish_abandoned(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some(s) = self.connections.get_mut(&id) else { return };
         let member = s.member;
         let (given_up, by) = match std::mem::replace(&mut s.stage, Stage::Resetting) {
--- a/crates/gradeshunt/src/backend/failures.rs
+++ b/crates/gradeshunt/src/backend/failures.rs
@@ -36,7 +36,7 @@
                 info!(turn.log, "db host connection failed"; "member" => s.member.0, "why" => why);
                 self.startup_failed(turn, exchange, id, Ending::ConnectFailed);
             }
-            Stage::AwaitsClose { .. } => self.finish_ending(turn, exchange, id),
+            Stage::AwaitsClose { .. } => self.finish_abandoned(turn, exchange, id),
             _ => self.close(turn, id),
         }
     }
@@ -58,14 +58,19 @@
             Some(ending) => (ending, reply),
             None => (job.ending_without_answer(Ending::Error, Ending::ConnectFailed), Reply::default()),
         };
-        self.end_with_connection(turn, exchange, id, AbandonedAttempt { job, ending, reply });
+        self.abandon_with_connection(turn, exchange, id, AbandonedAttempt { job, ending, reply });
     }
 
     /// Handles a duplicate, or possible duplicate, of an earlier error in place of an answer. It says nothing
     /// about its request, which may still be running.
     pub(super) fn handle_copied_error(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some((member, job, reply)) = self.take_job(id) else { return };
-        self.end_with_connection(turn, exchange, id, AbandonedAttempt { job, ending: Ending::Error, reply });
+        self.abandon_with_connection(
+            turn,
+            exchange,
+            id,
+            AbandonedAttempt { job, ending: Ending::Error, reply },
+        );
         self.fail_surplus_job(turn, exchange, member, Ending::ConnectFailed);
     }
 
--- a/crates/gradeshunt/src/backend/hosts.rs
+++ b/crates/gradeshunt/src/backend/hosts.rs
@@ -26,7 +26,7 @@
 }
 
 pub(super) struct Host {
-    pub(super) addr: SocketAddr,
+    pub(super) address: SocketAddr,
     standing: Standing,
     /// The time since which discovery has listed it as draining, or has not listed it any more.
     pub(super) closed_since: Option<Micros>,
@@ -36,7 +36,7 @@
     pub(super) idle: Vec<ServerId>,
     pub(super) connecting: usize,
     /// Number of all connections to it.
-    pub(super) servers: usize,
+    pub(super) connection_count: usize,
     /// When connections are retried that failed for lack of system resources.
     pub(super) retry_connect_at: Option<Micros>,
     /// Jobs that wait for a connection, oldest first.
@@ -158,23 +158,23 @@
     /// Sets a host's address and standing; returns whether the address has changed.
     fn update_host(&mut self, turn: &Turn, member: MemberId, addr: SocketAddr, standing: Standing) -> bool {
         let host = self.hosts.entry(member).or_insert_with(|| Host {
-            addr,
+            address: addr,
             standing,
             closed_since: None,
             held_out: false,
             idle: Vec::new(),
             connecting: 0,
-            servers: 0,
+            connection_count: 0,
             retry_connect_at: None,
             waiting: VecDeque::new(),
             positions: PositionReader::default(),
         });
-        let moved = host.addr != addr;
+        let moved = host.address != addr;
         if moved || host.standing != standing {
             debug!(turn.log, "db host's address or standing changed"; "addr" => addr.to_string(), "now" => ?standing,
                 "before" => ?host.standing, "member" => member.0);
         }
-        host.addr = addr;
+        host.address = addr;
         host.set_standing(turn.now, standing);
         moved
     }
@@ -228,7 +228,7 @@
     /// Removes a host that is gone and has no connections. Without this, memory would grow without bound as
     /// hosts are replaced by others under new names.
     pub(super) fn remove_if_gone(&mut self, member: MemberId) {
-        let gone = |h: &Host| h.standing == Standing::Gone && h.servers == 0;
+        let gone = |h: &Host| h.standing == Standing::Gone && h.connection_count == 0;
         if self.hosts.get(&member).is_some_and(gone) {
             self.hosts.remove(&member);
         }
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -52,7 +52,7 @@
     /// Records when its last byte was passed to the kernel.
     pub(super) fn note_written(&mut self, at: Micros) {
         match self {
-            Job::Attempt { trace, .. } => trace.written = Some(at),
+            Job::Attempt { trace, .. } => trace.written_at = Some(at),
             Job::Probe { written, .. } => *written = Some(at),
         }
     }
@@ -62,7 +62,7 @@
     /// its own there.
     pub(super) fn is_written(&self) -> bool {
         match self {
-            Job::Attempt { trace, .. } => trace.written.is_some(),
+            Job::Attempt { trace, .. } => trace.written_at.is_some(),
             Job::Probe { written, .. } => written.is_some(),
         }
     }
@@ -186,7 +186,7 @@
         let begin = s.begin_request();
         let pushed = match &mut job {
             Job::Attempt { id: attempt, body, until, write_by, trace, .. } => {
-                (trace.connection, trace.leased) = (Some(id), Some(turn.now));
+                (trace.connection, trace.assigned_at) = (Some(id), Some(turn.now));
                 if let Some(a) = self.attempts.get_mut(attempt) {
                     turn.deadlines.clear(a.0, Due::Attempt(*attempt));
                     let due = (*until).min(*write_by);
@@ -309,7 +309,7 @@
                     self.close(turn, id);
                     return self.end_job(turn, exchange, member, job, job_ending, reply);
                 }
-                self.end_with_connection(
+                self.abandon_with_connection(
                     turn,
                     exchange,
                     id,
--- a/crates/gradeshunt/src/backend/pool.rs
+++ b/crates/gradeshunt/src/backend/pool.rs
@@ -33,7 +33,7 @@
         let pooled = PooledConnection {
             expires: until,
             quiet: s.is_quiet(),
-            current_address: s.addr == host.addr,
+            current_address: s.addr == host.address,
             host: host.standing(),
         };
         may_reuse(now, &pooled).err()
@@ -44,7 +44,7 @@
         self.take_idle(turn, id);
         let Some(s) = self.connections.remove(&id) else { return };
         if let Some(host) = self.hosts.get_mut(&s.member) {
-            host.servers -= 1;
+            host.connection_count -= 1;
             match s.stage {
                 Stage::Starting { by } => {
                     host.connecting -= 1;
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -25,7 +25,7 @@
 /// Bytes of a long answer that are read at a time.
 const READ_SIZE: usize = 32 * 1024;
 /// Reads from one connection per turn.
-const READS_PER_TURN: usize = 8;
+const MAX_READS_PER_TURN: usize = 8;
 
 impl HostConnection {
     /// Called when no complete message is left. Limits the wait for ReadyForQuery after a complete answer, so
@@ -47,7 +47,7 @@
         if let Err(why) = self.flush(turn, exchange, id) {
             return self.write_failed(turn, exchange, id, why);
         }
-        for _ in 0..READS_PER_TURN {
+        for _ in 0..MAX_READS_PER_TURN {
             let Some(s) = self.connections.get_mut(&id) else { return };
             if s.is_streaming() {
                 // What the frontend cannot take yet is left in the db host's connection;
--- a/crates/gradeshunt/src/backend/reply.rs
+++ b/crates/gradeshunt/src/backend/reply.rs
@@ -43,14 +43,14 @@
     /// Takes one message. Returns true at ReadyForQuery, which ends the reply.
     pub(super) fn handle_message(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
         if self.form == AnswerForm::Result {
-            return self.take_result(message);
+            return self.handle_result_message(message);
         }
         match message.tag {
             b'Z' if self.ending().is_none() || !matches!(message.body, b"I" | b"T" | b"E") => {
                 return Err(Malformed("ReadyForQuery without an answer"))
             }
             b'Z' => return Ok(true),
-            b'S' => drop(self.take_status(message)),
+            b'S' => drop(self.record_status(message)),
             b'N' | b'A' => {}
             _ if self.ending().is_some() => return Err(Malformed("more than one answer")),
             b'E' => {
@@ -81,7 +81,7 @@
 
     /// Takes one message of a result with any number of rows and columns, and keeps the messages that are
     /// meant for the client. Returns true at ReadyForQuery; only then is the result complete.
-    fn take_result(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
+    fn handle_result_message(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
         match message.tag {
             b'Z' if self.progress != ReplyProgress::Row && self.error.is_none() => {
                 return Err(Malformed("ReadyForQuery without an answer"))
@@ -92,7 +92,7 @@
                 self.progress = ReplyProgress::Complete;
                 return Ok(true);
             }
-            b'S' if self.take_status(message) => {}
+            b'S' if self.record_status(message) => {}
             b'S' | b'N' => self.append(message)?,
             b'A' => {}
             _ if self.error.is_some() || self.progress == ReplyProgress::Row => {
@@ -134,7 +134,7 @@
 
     /// Takes a ParameterStatus message that reports the db host's own state. Returns false for any other
     /// parameter.
-    fn take_status(&mut self, message: &pg::Message) -> bool {
+    fn record_status(&mut self, message: &pg::Message) -> bool {
         match pg::parameter_status(message.body) {
             Some(("log_position", value)) => {
                 self.position = value.parse().ok();
--- a/crates/gradeshunt/src/backend/sync_marker.rs
+++ b/crates/gradeshunt/src/backend/sync_marker.rs
@@ -72,7 +72,7 @@
     /// Discards what belongs to no request.
     pub(super) fn discard(&mut self, inbound: &mut Ring) -> Result<Discarded, Malformed> {
         match &mut self.position {
-            MarkerPosition::BeforeRequest(discard) if !self.answered => discard.take(inbound),
+            MarkerPosition::BeforeRequest(discard) if !self.answered => discard.discard_available(inbound),
             _ => Ok(Discarded::UpToMarker),
         }
     }
--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -114,7 +114,7 @@
     }
 
     /// Lets the backend handle what has arrived until `done` holds.
-    fn until(&mut self, done: impl Fn(&Backend) -> bool) {
+    fn run_until(&mut self, done: impl Fn(&Backend) -> bool) {
         while !done(&self.backend) {
             let servers: Vec<_> = self.backend.connections.keys().copied().collect();
             for id in servers {
@@ -131,9 +131,9 @@
         server
             .write_all(&Writer::default().message(b'R', &[&[0; 4]]).ready().0)
             .expect("the connection is closed");
-        self.until(|backend| backend.hosts[&MEMBER].connecting == 0);
+        self.run_until(|backend| backend.hosts[&MEMBER].connecting == 0);
         server.write_all(&report()).expect("the connection is closed");
-        self.until(|backend| backend.hosts[&MEMBER].idle.len() == 1);
+        self.run_until(|backend| backend.hosts[&MEMBER].idle.len() == 1);
         server
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Advances the clock by `time` and handles the connections' deadlines.
-    fn pass(&mut self, time: Micros) {
+    fn advance_time(&mut self, time: Micros) {
         self.turn.now += time;
         while let Some(due) = self.turn.deadlines.pop(self.turn.now) {
             if let Due::Server(id) = due {
@@ -203,7 +203,7 @@
     fixture.backend.apply_list(&mut fixture.turn, &mut fixture.exchange, ListKind::Full, &[listed]);
     assert_eq!(fixture.backend.connections.len(), 1);
     server.write_all(&[empty_query_answer(), report()].concat()).expect("the connection is closed");
-    fixture.until(|backend| backend.probes.is_empty());
+    fixture.run_until(|backend| backend.probes.is_empty());
     assert_eq!(fixture.backend.take_reusable(&mut fixture.turn, MEMBER), None);
     assert!(fixture.backend.connections.is_empty(), "the connection is still open");
 }
@@ -223,7 +223,7 @@
     let error = Writer::default().message(b'E', &[b"SERROR\0CXX000\0Mbroken\0\0"]).0;
     server.write_all(&[empty_query_answer(), error].concat()).expect("the connection is closed");
     let awaits_ready = |s: &HostConnection| matches!(s.stage, Stage::Busy { ready_by: Some(_), .. });
-    fixture.until(|backend| backend.connections.values().any(awaits_ready));
+    fixture.run_until(|backend| backend.connections.values().any(awaits_ready));
     server.write_all(&Writer::default().ready().0).expect("the connection is closed");
     while fixture.backend.connections.values().all(|s| s.polled.is_quiet()) {}
     fixture.turn.now += PATIENCE / 2;
@@ -245,10 +245,10 @@
     let (mut server, attempt) = fixture.start_attempt();
     fixture.backend.give_up(&mut fixture.turn, &mut fixture.exchange, attempt, Ending::Timeout);
     assert_eq!(server.read(&mut [0]).expect("the connection was reset instead of closed"), 0);
-    fixture.pass(HOST_END_TIMEOUT - 1);
+    fixture.advance_time(HOST_END_TIMEOUT - 1);
     assert!(fixture.backend.attempts.contains_key(&attempt), "the attempt ended before its connection");
     drop(server);
-    fixture.until(|backend| backend.connections.is_empty());
+    fixture.run_until(|backend| backend.connections.is_empty());
     assert!(fixture.backend.attempts.is_empty(), "the connection has ended, but the attempt counts as out");
 }
 
@@ -259,7 +259,7 @@
     let mut fixture = Fixture::open();
     let (mut server, attempt) = fixture.start_attempt();
     fixture.backend.give_up(&mut fixture.turn, &mut fixture.exchange, attempt, Ending::Timeout);
-    fixture.pass(HOST_END_TIMEOUT);
+    fixture.advance_time(HOST_END_TIMEOUT);
     assert!(fixture.backend.attempts.is_empty() && fixture.backend.connections.is_empty());
     assert_eq!(server.read(&mut [0]).expect("the connection is not closed"), 0);
     let answer = Writer::default().ready().0;
--- a/crates/gradeshunt/src/backend/tests/late_connections.rs
+++ b/crates/gradeshunt/src/backend/tests/late_connections.rs
@@ -46,7 +46,7 @@
         server
             .write_all(&Writer::default().message(b'R', &[&[0; 4]]).ready().0)
             .expect("the connection is closed");
-        self.until(|backend| backend.hosts[&MEMBER].connecting == 0);
+        self.run_until(|backend| backend.hosts[&MEMBER].connecting == 0);
     }
 
     fn is_written(&self) -> bool {
--- a/crates/gradeshunt/src/backend/tests/late_copies.rs
+++ b/crates/gradeshunt/src/backend/tests/late_copies.rs
@@ -42,10 +42,10 @@
             )
             .expect("the connection is closed");
         let awaits_ready = |s: &HostConnection| matches!(s.stage, Stage::Busy { ready_by: Some(_), .. });
-        self.until(|backend| backend.connections.values().any(awaits_ready));
-        self.pass(READY_GRACE);
+        self.run_until(|backend| backend.connections.values().any(awaits_ready));
+        self.advance_time(READY_GRACE);
         server.write_all(&ready()).expect("the connection is closed");
-        self.until(|backend| backend.hosts[&MEMBER].idle.len() == 1);
+        self.run_until(|backend| backend.hosts[&MEMBER].idle.len() == 1);
         server
     }
 }
@@ -59,7 +59,7 @@
     fixture.start_attempt_on(&mut server);
     let answers = [report(), empty_query_answer(), value(b"own")].concat();
     server.write_all(&answers).expect("the connection is closed");
-    fixture.until(|backend| backend.attempts.is_empty());
+    fixture.run_until(|backend| backend.attempts.is_empty());
     let (_, answer) = fixture.exchange.answers.pop_front().expect("no answer");
     let Answer::Final(FinalAnswer::Served(bytes)) = answer else { panic!("{answer:?}") };
     assert!(bytes.windows(3).any(|part| part == b"own"), "{bytes:?}");
@@ -87,9 +87,9 @@
     server
         .write_all(&Writer::default().message(b'R', &[&[0; 4]]).ready().0)
         .expect("the connection is closed");
-    fixture.until(|backend| backend.hosts[&PEER].connecting == 0);
+    fixture.run_until(|backend| backend.hosts[&PEER].connecting == 0);
     server.write_all(&value(b"one")).expect("the connection is closed");
-    fixture.until(|backend| backend.attempts.is_empty());
+    fixture.run_until(|backend| backend.attempts.is_empty());
     fixture.backend.execute(&mut fixture.turn, &mut fixture.exchange, command(1));
     let query = Writer::default().query(&[b"SELECT 1"]).0;
     let mut bytes = Vec::new();
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -124,7 +124,7 @@
             let trace = &earlier.trace;
             debug!(turn.log, "repeat written"; "at" => at, "earlier_ended" => earlier.ended_at,
                 "earlier_ending" => ending_name(earlier.ending), "earlier_connection_end" => ?trace.connection_end,
-                "earlier_written" => trace.written, "earlier_leased" => trace.leased,
+                "earlier_written" => trace.written_at, "earlier_leased" => trace.assigned_at,
                 "earlier_connection" => trace.connection.map(|c| c.0), "earlier_begun" => earlier.begun_at,
                 "earlier" => earlier.number, "number" => attempt.number, "request" => attempt.request.0);
         }
--- a/crates/gradeshunt/src/exchange/final_answers.rs
+++ b/crates/gradeshunt/src/exchange/final_answers.rs
@@ -31,7 +31,7 @@
                 (false, true) => FinalAnswer::Failed(None),
                 (false, false) => FinalAnswer::Refused { retry_after },
             };
-            self.give_final_answer(turn, id, answer, Some(FinalReason::Leaving));
+            self.give_final_answer(turn, id, answer, Some(FinalReason::ShuttingDown));
             self.handle_event(turn, Event::Gone { request: id });
         }
     }
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -135,9 +135,12 @@
         }
         match host_reply {
             HostReply::Answer(bytes) => self.give_final_answer(turn, id, FinalAnswer::Served(bytes), None),
-            _ if begun => {
-                self.give_final_answer(turn, id, FinalAnswer::Interrupted, Some(FinalReason::ValueCut))
-            }
+            _ if begun => self.give_final_answer(
+                turn,
+                id,
+                FinalAnswer::Interrupted,
+                Some(FinalReason::AnswerInterrupted),
+            ),
             HostReply::StatementError(bytes) | HostReply::Error(bytes) => self.give_final_answer(
                 turn,
                 id,
--- a/crates/gradeshunt/src/exchange/reason.rs
+++ b/crates/gradeshunt/src/exchange/reason.rs
@@ -22,11 +22,11 @@
     /// A db host reported that the statement itself is invalid.
     Statement,
     /// A long answer was interrupted after parts of it were passed on.
-    ValueCut,
+    AnswerInterrupted,
     /// The client cancelled it.
     Cancelled,
     /// The process is shutting down.
-    Leaving,
+    ShuttingDown,
     /// The balancer gave no answer in time.
     Overdue,
 }
@@ -44,9 +44,9 @@
             FinalReason::MayHaveRun => "may_have_run",
             FinalReason::AnswerUnclear => "answer_unclear",
             FinalReason::Statement => "statement",
-            FinalReason::ValueCut => "value_cut",
+            FinalReason::AnswerInterrupted => "value_cut",
             FinalReason::Cancelled => "cancelled",
-            FinalReason::Leaving => "leaving",
+            FinalReason::ShuttingDown => "leaving",
             FinalReason::Overdue => "overdue",
         }
     }
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -80,7 +80,7 @@
         let (over, begun) = (r.is_over, r.answer_begun);
         let answer = match host_reply {
             HostReply::Answer(bytes) => Some((FinalAnswer::Served(bytes), None)),
-            _ if begun => Some((FinalAnswer::Interrupted, Some(FinalReason::ValueCut))),
+            _ if begun => Some((FinalAnswer::Interrupted, Some(FinalReason::AnswerInterrupted))),
             HostReply::StatementError(bytes) => {
                 Some((FinalAnswer::Failed(Some(bytes)), Some(FinalReason::Statement)))
             }
--- a/crates/gradeshunt/src/exchange/tests.rs
+++ b/crates/gradeshunt/src/exchange/tests.rs
@@ -104,7 +104,7 @@
 fn repeat_violations(is_written: bool, ending: Ending) -> u64 {
     let mut fixture = Fixture::open_with(Some(Effect::Unsafe));
     let written = is_written.then_some(fixture.turn.now);
-    let trace = AttemptTrace { written, ..AttemptTrace::default() };
+    let trace = AttemptTrace { written_at: written, ..AttemptTrace::default() };
     let ended = AttemptEnd { attempt: fixture.first, ending, note: None, reply: HostReply::Nothing, trace };
     fixture.exchange.attempt_ended(&mut fixture.turn, ended);
     fixture.turn.now += DEADLINE / 2;
--- a/crates/gradeshunt/src/exchange/trace.rs
+++ b/crates/gradeshunt/src/exchange/trace.rs
@@ -24,9 +24,9 @@
 pub struct AttemptTrace {
     pub connection: Option<ServerId>,
     /// When the connection was assigned to the attempt.
-    pub leased: Option<Micros>,
+    pub assigned_at: Option<Micros>,
     /// When the last byte was passed to the kernel.
-    pub written: Option<Micros>,
+    pub written_at: Option<Micros>,
     pub connection_end: ConnectionEnd,
 }
 
@@ -42,7 +42,7 @@
 impl EndedAttempt {
     /// Whether the attempt was written completely and its db host did not refuse it.
     pub(super) fn may_have_run(&self) -> bool {
-        let was_turned_away = matches!(self.ending, Ending::Full | Ending::Miss);
-        self.trace.written.is_some() && !was_turned_away
+        let was_refused = matches!(self.ending, Ending::Full | Ending::Miss);
+        self.trace.written_at.is_some() && !was_refused
     }
 }
