--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -51,7 +51,7 @@
             let Some(s) = self.connections.get_mut(&id) else { return };
             if s.is_streaming() {
                 // What the frontend cannot take yet is left in the db host's connection;
-                // [`BackendCommand::Resume`](crate::exchange::BackendCommand::Resume) follows.
+                // `BackendCommand::Resume` follows.
                 if s.inbound.len() >= READ_SIZE {
                     return;
                 }
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -56,10 +56,10 @@
         self.log_earlier_attempts(turn, attempt, at);
     }
 
-    /// Called when the first byte of an attempt has been written. `told` is the time at which the db host was
-    /// reported to accept no new requests, if it was.
-    pub fn first_byte_written(&mut self, turn: &Turn, attempt: AttemptId, told: Option<Micros>) {
-        if violates_drain(turn.clock.now(), told, self.drain_grace) {
+    /// Called when the first byte of an attempt has been written. `closed_since` is the time at which the db
+    /// host was reported to accept no new requests, if it was.
+    pub fn first_byte_written(&mut self, turn: &Turn, attempt: AttemptId, closed_since: Option<Micros>) {
+        if violates_drain(turn.clock.now(), closed_since, self.drain_grace) {
             self.record_violation(turn, Rule::Drain, Some(attempt));
         }
     }
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -14,8 +14,8 @@
 use crate::turn::Turn;
 
 impl Exchange {
-    /// The number of bytes of a long answer that the frontend can take. After 0, [`BackendCommand::Resume`] follows
-    /// once there is room.
+    /// The number of bytes of a long answer that the frontend can take. After 0,
+    /// [`Resume`](super::messages::BackendCommand::Resume) follows once there is room.
     pub fn answer_room(&mut self, attempt: AttemptId) -> usize {
         let Some(r) = self.requests.get_mut(&attempt.request).filter(|r| !r.is_over) else { return 0 };
         r.awaits_room = r.room == 0;
--- a/crates/gradeshunt/tests/attempts/played_host.rs
+++ b/crates/gradeshunt/tests/attempts/played_host.rs
@@ -14,7 +14,7 @@
 use gradeshunt_stand_ins::standalone::{Standalone, Start};
 use serde_json::{json, Value};
 
-/// Time-out that ends a failing test. It is far longer than any wait in a passing one.
+/// Time-out that ends a failing test. It does not limit a passing one.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(8);
 /// A statement longer than the socket buffers of a connection whose peer does not read.
 pub const STATEMENT_BEYOND_BUFFERS: usize = 250_000;
