--- a/crates/gradeshunt/src/backend.rs
+++ b/crates/gradeshunt/src/backend.rs
@@ -17,14 +17,14 @@
 
 use std::collections::BTreeMap;
 
-use leadmast::settings::{Connections, Names};
+use leadmast::settings::{ConnectionSettings, Names};
 use leadmast::{Ending, MemberId, Micros};
 
 use self::connection::{HostConnection, Stage};
 use self::hosts::Host;
 pub use self::hosts::ListedHost;
 use self::jobs::{Job, JobPlace};
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{AttemptId, BackendCommand, Exchange};
 use crate::ids::ServerId;
 use crate::pg::Malformed;
@@ -35,7 +35,7 @@
 
 /// Runs attempts and probes on connections to db hosts and, for forwarded requests, to other proxies.
 pub struct Backend {
-    connection_settings: Connections,
+    connection_settings: ConnectionSettings,
     fields: Vec<String>,
     max_connections: usize,
     /// The name by which the other proxies of the group know this one.
@@ -50,7 +50,7 @@
 }
 
 impl Backend {
-    pub fn new(connections: Connections, names: &Names) -> Self {
+    pub fn new(connections: ConnectionSettings, names: &Names) -> Self {
         Backend {
             connection_settings: connections,
             fields: names.fields.clone(),
@@ -122,12 +122,12 @@
             });
             if let Some(at) = last_passed_on.map(|at| at + STALL_TIMEOUT).filter(|at| *at > turn.now) {
                 *until = at;
-                return turn.deadlines.set(at, Due::Attempt(id));
+                return turn.deadlines.set(at, DeadlineKind::Attempt(id));
             }
         }
         if let (Some(until), Some(attempt)) = (self.awaited_until(turn.now, id), self.attempts.get_mut(&id)) {
             attempt.0 = until;
-            return turn.deadlines.set(until, Due::Attempt(id));
+            return turn.deadlines.set(until, DeadlineKind::Attempt(id));
         }
         self.give_up(turn, exchange, id, Ending::Timeout);
     }
--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -12,13 +12,13 @@
 use super::reply::{Reply, ReplyProgress};
 use super::sync_marker::SyncMarker;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{AttemptId, ConnectionEnd, Exchange};
 use crate::ids::ServerId;
 use crate::pg::Writer;
 use crate::placing::{is_peer, PEER_USER};
-use crate::ring::{Moved, Ring};
-use crate::turn::{Polled, Source, Turn};
+use crate::ring::{Ring, Transfer};
+use crate::turn::{EventSource, Polled, Turn};
 
 /// User and database of connections to db hosts, which accept any.
 const USER: &str = "portal";
@@ -123,13 +123,13 @@
     /// Whether bytes written to this connection have not left this machine. An answer that arrives before
     /// that is early, and the rest must not be sent after it.
     pub(super) fn has_more_to_send(&self) -> bool {
-        !self.outbound.is_empty() || self.polled.holds_unsent()
+        !self.outbound.is_empty() || self.polled.has_unsent_bytes()
     }
 
     /// Whether part of its job has not left this machine.
     pub(super) fn has_unsent_job(&self) -> bool {
         match &self.stage {
-            Stage::Busy { job, .. } => !job.is_written() || self.polled.holds_unsent(),
+            Stage::Busy { job, .. } => !job.is_written() || self.polled.has_unsent_bytes(),
             _ => false,
         }
     }
@@ -150,8 +150,8 @@
         let Some(host) = self.hosts.get_mut(&member) else { return Ok(()) };
         let id = ServerId(self.next_connection);
         self.next_connection += 1;
-        let polled = Polled::connect(turn, host.address, Source::Server(id))?;
-        polled.hold_little(SEND_BUFFER);
+        let polled = Polled::connect(turn, host.address, EventSource::Server(id))?;
+        polled.limit_send_buffer(SEND_BUFFER);
         let by = turn.now + self.connection_settings.connect_timeout;
         let mut s = HostConnection {
             polled,
@@ -176,7 +176,7 @@
         }
         host.connecting += 1;
         host.connection_count += 1;
-        turn.deadlines.set(by, Due::Server(id));
+        turn.deadlines.set(by, DeadlineKind::Server(id));
         self.connections.insert(id, s);
         Ok(())
     }
@@ -204,17 +204,17 @@
     fn make_idle(&mut self, turn: &mut Turn, id: ServerId) -> Option<(MemberId, Stage)> {
         let s = self.connections.get_mut(&id)?;
         let member = s.member;
-        let until = turn.now + (self.connection_settings.idle as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
+        let until = turn.now + (self.connection_settings.idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         let former = std::mem::replace(&mut s.stage, Stage::Idle { since: turn.now, until });
-        turn.deadlines.set(until, Due::Server(id));
+        turn.deadlines.set(until, DeadlineKind::Server(id));
         let host = self.hosts.get_mut(&member)?;
         host.idle.push(id);
         match &former {
             Stage::Starting { by } => {
                 host.connecting -= 1;
-                turn.deadlines.clear(*by, Due::Server(id));
+                turn.deadlines.clear(*by, DeadlineKind::Server(id));
             }
-            Stage::AwaitsReady { by } => turn.deadlines.clear(*by, Due::Server(id)),
+            Stage::AwaitsReady { by } => turn.deadlines.clear(*by, DeadlineKind::Server(id)),
             Stage::Busy { reply, .. } => s.remember_reply(reply),
             Stage::Idle { .. } | Stage::AwaitsClose { .. } | Stage::Resetting => {}
         }
@@ -274,8 +274,8 @@
                 return Err(WriteFailure::Denied(denial));
             }
             let Some(s) = self.connections.get_mut(&id) else { return Ok(()) };
-            match s.outbound.drain(&s.polled.socket) {
-                Ok(Moved::Some(_)) => self.note_written(turn, exchange, id),
+            match s.outbound.write_to(&s.polled.socket) {
+                Ok(Transfer::Bytes(_)) => self.note_written(turn, exchange, id),
                 Ok(_) => return Ok(()),
                 // The connection is not established yet.
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(()),
@@ -313,8 +313,8 @@
     fn bring_deadline_forward(&mut self, turn: &mut Turn, attempt: AttemptId, by: Option<Micros>) {
         let (Some(by), Some((due, _))) = (by, self.attempts.get_mut(&attempt)) else { return };
         if by < *due {
-            turn.deadlines.clear(*due, Due::Attempt(attempt));
-            turn.deadlines.set(by, Due::Attempt(attempt));
+            turn.deadlines.clear(*due, DeadlineKind::Attempt(attempt));
+            turn.deadlines.set(by, DeadlineKind::Attempt(attempt));
             *due = by;
         }
     }
--- a/crates/gradeshunt/src/backend/discard.rs
+++ b/crates/gradeshunt/src/backend/discard.rs
@@ -5,7 +5,7 @@
 use crate::ring::Ring;
 
 /// Bytes that are discarded at most: a duplicate of an answer is not longer.
-const MAX_DISCARDED: usize = 2 * pg::LONGEST_ROW;
+const MAX_DISCARDED: usize = 2 * pg::MAX_ROW_SIZE;
 
 /// Progress of discarding: bytes left of the current message, bytes discarded, and complete answers
 /// discarded.
@@ -40,7 +40,7 @@
             if self.left > 0 {
                 return Ok(Discarded::NeedsMore);
             }
-            let Some((tag, size)) = pg::header(inbound.bytes(), pg::BACKEND)? else {
+            let Some((tag, size)) = pg::parse_header(inbound.bytes(), pg::BACKEND_MESSAGE_TYPES)? else {
                 return Ok(Discarded::NeedsMore);
             };
             if tag == b'I' {
--- a/crates/gradeshunt/src/backend/ending.rs
+++ b/crates/gradeshunt/src/backend/ending.rs
@@ -14,10 +14,10 @@
 use super::jobs::Job;
 use super::reply::Reply;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::Exchange;
 use crate::ids::ServerId;
-use crate::turn::{Source, Turn};
+use crate::turn::{EventSource, Turn};
 
 /// Time to wait for the db host to close its side. A db host that hangs, or works without reading, never
 /// does.
@@ -58,10 +58,10 @@
         let awaits_end = may_be_followed && s.end_sending();
         s.stage = Stage::AwaitsClose { given_up, by };
         if awaits_end {
-            turn.deadlines.set(by, Due::Server(id));
+            turn.deadlines.set(by, DeadlineKind::Server(id));
             // The db host's end may already have been signalled without having been read; it is not signalled
             // again.
-            turn.again.push(Source::Server(id));
+            turn.unfinished.push(EventSource::Server(id));
         } else {
             self.finish_abandoned(turn, exchange, id);
         }
@@ -76,7 +76,7 @@
             Stage::AwaitsClose { given_up, by } => (given_up, by),
             other => return s.stage = other,
         };
-        turn.deadlines.clear(by, Due::Server(id));
+        turn.deadlines.clear(by, DeadlineKind::Server(id));
         debug!(turn.log, "connection of an abandoned attempt ended"; "member" => member.0,
             "awaited_us" => turn.clock.now() - (by - HOST_END_TIMEOUT));
         self.close(turn, id);
--- a/crates/gradeshunt/src/backend/hosts.rs
+++ b/crates/gradeshunt/src/backend/hosts.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use leadmast::permission::HostStanding;
+use leadmast::permission::HostState;
 use leadmast::{Ending, ListKind, MemberId, Micros, Note, Phase, Probed, Report};
 use slog::{debug, info};
 
@@ -69,12 +69,12 @@
     }
 
     /// Whether it accepts new jobs, and why not.
-    pub(super) fn standing(&self) -> HostStanding {
+    pub(super) fn standing(&self) -> HostState {
         match self.standing {
-            Standing::Gone => HostStanding::Gone,
-            Standing::Draining => HostStanding::Draining,
-            Standing::Open if self.held_out => HostStanding::HeldOut,
-            Standing::Open => HostStanding::Open,
+            Standing::Gone => HostState::Gone,
+            Standing::Draining => HostState::Draining,
+            Standing::Open if self.held_out => HostState::HeldOut,
+            Standing::Open => HostState::Open,
         }
     }
 
@@ -206,16 +206,16 @@
         exchange: &mut Exchange,
         member: MemberId,
     ) {
-        if self.hosts.get(&member).is_some_and(|host| host.positions.holds_unshown()) {
+        if self.hosts.get(&member).is_some_and(|host| host.positions.has_held_back()) {
             self.unverified_positions.push(member);
         }
         let now = turn.clock.now();
-        if self.unverified_positions.is_empty() || !turn.clock.is_shown(now) {
+        if self.unverified_positions.is_empty() || !turn.clock.is_offset_confirmed(now) {
             return;
         }
         for member in std::mem::take(&mut self.unverified_positions) {
             let host = self.hosts.get_mut(&member);
-            let verified = host.and_then(|host| host.positions.take_unshown(&turn.clock, now));
+            let verified = host.and_then(|host| host.positions.take_held_back(&turn.clock, now));
             if let Some((position, at)) = verified {
                 let report = Report { position: Some(position), primary: Some(false), ..Report::default() };
                 let elapsed = turn.now - at;
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -6,7 +6,7 @@
 
 use leadmast::invariant::Rule;
 use leadmast::permission::{
-    may_begin_at, may_write, time_to_tell, AttemptDenial, HostStanding, Telling, WriteFacts,
+    may_begin_at_host, may_write, remaining_time_to_send, AttemptDenial, HostState, RemainingTime, WriteState,
 };
 use leadmast::{Ending, MemberId, Micros, Probed};
 use slog::{debug, info};
@@ -17,7 +17,7 @@
 use super::load_report::parse_load_report;
 use super::reply::Reply;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{
     ending_name, AnswerForm, AttemptEnd, AttemptId, AttemptTrace, Body, ConnectionEnd, Exchange, HostReply,
 };
@@ -99,12 +99,12 @@
         }
         match &job {
             Job::Attempt { id, write_by, .. } => {
-                turn.deadlines.set(*write_by, Due::Attempt(*id));
+                turn.deadlines.set(*write_by, DeadlineKind::Attempt(*id));
                 self.attempts.insert(*id, (*write_by, JobPlace::Waiting(member)));
             }
             Job::Probe { since, .. } => {
                 let until = since + self.connection_settings.connect_timeout;
-                turn.deadlines.set(until, Due::Probe(member));
+                turn.deadlines.set(until, DeadlineKind::Probe(member));
                 self.probes.insert(member, (until, JobPlace::Waiting(member)));
             }
         }
@@ -119,13 +119,22 @@
 
     /// Why a job may not begin or be written to a connection, or `None` if it may.
     pub(super) fn job_denial(&self, now: Micros, member: MemberId, job: &Job) -> Option<AttemptDenial> {
-        let host = self.hosts.get(&member).map_or(HostStanding::Unknown, Host::standing);
+        let host = self.hosts.get(&member).map_or(HostState::Unknown, Host::standing);
         let allowed = match job {
             Job::Attempt { until, write_by, .. } => {
                 let (until, write_by) = (*until, *write_by);
-                may_write(now, &WriteFacts { until, write_by, told_until: None, begun: false, host })
+                may_write(
+                    now,
+                    &WriteState {
+                        answer_deadline: until,
+                        write_by,
+                        remaining_valid_until: None,
+                        first_byte_written: false,
+                        host,
+                    },
+                )
             }
-            Job::Probe { .. } => may_begin_at(host),
+            Job::Probe { .. } => may_begin_at_host(host),
         };
         allowed.err()
     }
@@ -138,9 +147,19 @@
         if job.is_written() {
             return None;
         }
-        let host = self.hosts.get(&s.member).map_or(HostStanding::Unknown, Host::standing);
+        let host = self.hosts.get(&s.member).map_or(HostState::Unknown, Host::standing);
         let WriteProgress { wait_accurate_until: told_until, begun, .. } = s.write_progress;
-        may_write(now, &WriteFacts { until: *until, write_by: *write_by, told_until, begun, host }).err()
+        may_write(
+            now,
+            &WriteState {
+                answer_deadline: *until,
+                write_by: *write_by,
+                remaining_valid_until: told_until,
+                first_byte_written: begun,
+                host,
+            },
+        )
+        .err()
     }
 
     /// Ends a job that was not written or not written completely.
@@ -188,15 +207,16 @@
             Job::Attempt { id: attempt, body, until, write_by, trace, .. } => {
                 (trace.connection, trace.assigned_at) = (Some(id), Some(turn.now));
                 if let Some(a) = self.attempts.get_mut(attempt) {
-                    turn.deadlines.clear(a.0, Due::Attempt(*attempt));
+                    turn.deadlines.clear(a.0, DeadlineKind::Attempt(*attempt));
                     let due = (*until).min(*write_by);
-                    turn.deadlines.set(due, Due::Attempt(*attempt));
+                    turn.deadlines.set(due, DeadlineKind::Attempt(*attempt));
                     *a = (due, JobPlace::On(id));
                 }
                 let (before, after) = body.split_at_wait();
                 let now = turn.clock.now();
-                let Telling { told, holds_for } = time_to_tell(*until - now, body.len());
-                let wait_ms = (told / 1000).max(1);
+                let RemainingTime { remaining, valid_for: holds_for } =
+                    remaining_time_to_send(*until - now, body.len());
+                let wait_ms = (remaining / 1000).max(1);
                 // A plain statement does not tell the db host how long the client waits.
                 if body.states_wait() {
                     let wait_accurate_until = Some(now + holds_for);
@@ -332,14 +352,14 @@
         match job {
             Job::Attempt { id, trace, .. } => {
                 if let Some((until, _)) = self.attempts.remove(&id) {
-                    turn.deadlines.clear(until, Due::Attempt(id));
+                    turn.deadlines.clear(until, DeadlineKind::Attempt(id));
                 }
                 debug!(turn.log, "attempt ended"; "request" => id.request.0, "number" => id.number,
                     "member" => member.0, "ending" => ending_name(ending));
                 let note = self.hosts.get_mut(&member).and_then(|host| host.note(turn, &reply));
                 let host_reply = match ending {
                     Ending::Ok => HostReply::Answer(reply.bytes),
-                    Ending::Error if reply.error.as_deref().is_some_and(sqlstate::is_verdict) => {
+                    Ending::Error if reply.error.as_deref().is_some_and(sqlstate::is_statement_error) => {
                         HostReply::StatementError(reply.bytes)
                     }
                     Ending::Error
@@ -349,7 +369,7 @@
                     }
                     Ending::Error if reply.may_be_duplicate => HostReply::PossibleDuplicate,
                     Ending::Full if reply.error.is_some() => {
-                        HostReply::Refused { retry_after: pg::retry_after(&reply.bytes) }
+                        HostReply::Refused { retry_after: pg::parse_retry_after(&reply.bytes) }
                     }
                     // A malformed answer is not passed on: its error message may be incomplete, and the
                     // client would get no usable answer.
@@ -364,7 +384,7 @@
             }
             Job::Probe { since, .. } => {
                 if let Some((until, _)) = self.probes.remove(&member) {
-                    turn.deadlines.clear(until, Due::Probe(member));
+                    turn.deadlines.clear(until, DeadlineKind::Probe(member));
                 }
                 let report = reply.row.filter(|_| ending == Ending::Ok);
                 let host = self.hosts.get_mut(&member);
--- a/crates/gradeshunt/src/backend/opening.rs
+++ b/crates/gradeshunt/src/backend/opening.rs
@@ -8,7 +8,7 @@
 
 use super::reply::Reply;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::Exchange;
 use crate::transient::is_transient;
 use crate::turn::Turn;
@@ -65,7 +65,7 @@
         warn!(turn.log, "cannot open a connection to a db host"; "again" => true, "error" => why.to_string());
         let at = turn.now + CONNECT_RETRY_DELAY;
         host.retry_connect_at = Some(at);
-        turn.deadlines.set(at, Due::Connect(member));
+        turn.deadlines.set(at, DeadlineKind::RetryConnect(member));
     }
 
     /// Ends the newest waiting job. The fault is this machine's, not the db host's, and nothing was sent.
--- a/crates/gradeshunt/src/backend/pool.rs
+++ b/crates/gradeshunt/src/backend/pool.rs
@@ -6,7 +6,7 @@
 
 use super::connection::Stage;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::ServerId;
 use crate::turn::Turn;
 
@@ -31,9 +31,9 @@
         let host = self.hosts.get(&s.member)?;
         let Stage::Idle { until, .. } = s.stage else { return None };
         let pooled = PooledConnection {
-            expires: until,
-            quiet: s.is_quiet(),
-            current_address: s.addr == host.address,
+            expires_at: until,
+            no_unread_input: s.is_quiet(),
+            at_current_address: s.addr == host.address,
             host: host.standing(),
         };
         may_reuse(now, &pooled).err()
@@ -48,10 +48,10 @@
             match s.stage {
                 Stage::Starting { by } => {
                     host.connecting -= 1;
-                    turn.deadlines.clear(by, Due::Server(id));
+                    turn.deadlines.clear(by, DeadlineKind::Server(id));
                 }
                 Stage::AwaitsReady { by } | Stage::AwaitsClose { by, .. } => {
-                    turn.deadlines.clear(by, Due::Server(id))
+                    turn.deadlines.clear(by, DeadlineKind::Server(id))
                 }
                 Stage::Idle { .. } | Stage::Busy { .. } | Stage::Resetting => {}
             }
@@ -78,7 +78,7 @@
     pub(super) fn take_idle(&mut self, turn: &mut Turn, id: ServerId) {
         let Some(s) = self.connections.get(&id) else { return };
         if let (Stage::Idle { until, .. }, Some(host)) = (&s.stage, self.hosts.get_mut(&s.member)) {
-            turn.deadlines.clear(*until, Due::Server(id));
+            turn.deadlines.clear(*until, DeadlineKind::Server(id));
             host.idle.retain(|i| *i != id);
         }
     }
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -10,12 +10,12 @@
 use super::reply::ReplyProgress;
 use super::sync_marker::{handle_marker_message, MarkerStep};
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{AnswerCheck, AnswerForm, ConnectionEnd, Exchange};
 use crate::ids::ServerId;
 use crate::pg::{self, Malformed};
-use crate::ring::Moved;
-use crate::turn::{Source, Turn};
+use crate::ring::Transfer;
+use crate::turn::{EventSource, Turn};
 
 /// Time for ReadyForQuery after a complete answer, before the client is answered without it. The db host may
 /// send ParameterStatus messages in between.
@@ -36,7 +36,7 @@
         if let Stage::Busy { reply, ready_by: ready_by @ None, .. } = &mut self.stage {
             if reply.ending().is_some() && !is_doubtful {
                 *ready_by = Some(turn.now + READY_GRACE);
-                turn.deadlines.set(turn.now + READY_GRACE, Due::Server(id));
+                turn.deadlines.set(turn.now + READY_GRACE, DeadlineKind::Server(id));
             }
         }
     }
@@ -57,11 +57,11 @@
                 }
                 s.inbound.reserve(READ_SIZE);
             }
-            let moved = s.inbound.fill(&s.polled.socket);
+            let moved = s.inbound.read_from(&s.polled.socket);
             let end = match moved {
-                Ok(Moved::Nothing) => return,
-                Ok(Moved::Some(_)) => None,
-                Ok(Moved::End) => Some("closed by the db host".to_owned()),
+                Ok(Transfer::Blocked) => return,
+                Ok(Transfer::Bytes(_)) => None,
+                Ok(Transfer::End) => Some("closed by the db host".to_owned()),
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
                 Err(e) => Some(e.to_string()),
             };
@@ -76,7 +76,7 @@
                 return self.connection_failed(turn, exchange, id, &why);
             }
         }
-        turn.again.push(Source::Server(id));
+        turn.unfinished.push(EventSource::Server(id));
     }
 
     /// Handles the complete messages that have arrived.
@@ -108,7 +108,7 @@
                 match reply.progress {
                     _ if reply.form == AnswerForm::Result => {}
                     ReplyProgress::Described => {
-                        if let Some(size) = pg::long_row(s.inbound.bytes())? {
+                        if let Some(size) = pg::long_row_size(s.inbound.bytes())? {
                             reply.progress = ReplyProgress::Streaming(size);
                             continue;
                         }
@@ -117,7 +117,7 @@
                     ReplyProgress::Nothing | ReplyProgress::Row | ReplyProgress::Complete => {}
                 }
             }
-            let Some(message) = pg::message(s.inbound.bytes(), pg::BACKEND)? else {
+            let Some(message) = pg::parse_message(s.inbound.bytes(), pg::BACKEND_MESSAGE_TYPES)? else {
                 // An incomplete message would be taken for the beginning of the next request's answer.
                 if matches!(s.stage, Stage::Idle { .. }) && !s.inbound.is_empty() {
                     return Err(Malformed("incomplete message between requests"));
@@ -147,7 +147,7 @@
                         return Err(Malformed("the db host requires password authentication"))
                     }
                     b'E' => {
-                        let code = pg::error_code(message.body)?.to_owned();
+                        let code = pg::parse_error_code(message.body)?.to_owned();
                         self.startup_refused(turn, exchange, id, &code);
                         return Ok(());
                     }
@@ -232,7 +232,7 @@
                 job.set_connection_end(ConnectionEnd::AwaitsReady);
                 let by = turn.now + READY_TIMEOUT;
                 s.stage = Stage::AwaitsReady { by };
-                turn.deadlines.set(by, Due::Server(id));
+                turn.deadlines.set(by, DeadlineKind::Server(id));
             }
             _ => self.close(turn, id),
         }
--- a/crates/gradeshunt/src/backend/reply.rs
+++ b/crates/gradeshunt/src/backend/reply.rs
@@ -3,7 +3,7 @@
 use leadmast::{Ending, Micros};
 
 use crate::exchange::AnswerForm;
-use crate::memory::Held;
+use crate::memory::BufferBytes;
 use crate::pg::{self, sqlstate, Malformed, Writer};
 
 /// A reply as far as it has arrived. Each job starts with a new one, so that nothing of an earlier reply
@@ -13,7 +13,7 @@
     /// The shape that the answer must have.
     pub(super) form: AnswerForm,
     pub(super) bytes: Vec<u8>,
-    pub(super) held: Held,
+    pub(super) held: BufferBytes,
     pub(super) progress: ReplyProgress,
     /// When bytes of a long answer were last passed on; `None` before the first.
     pub(super) last_passed_on: Option<Micros>,
@@ -54,7 +54,7 @@
             b'N' | b'A' => {}
             _ if self.ending().is_some() => return Err(Malformed("more than one answer")),
             b'E' => {
-                self.error = Some(pg::error_code(message.body)?.to_owned());
+                self.error = Some(pg::parse_error_code(message.body)?.to_owned());
                 self.bytes.clear();
                 self.append(message)?;
             }
@@ -70,7 +70,7 @@
                 self.append(message)?;
             }
             b'C' if self.progress == ReplyProgress::Row => {
-                pg::string(message.body)?;
+                pg::parse_string(message.body)?;
                 self.progress = ReplyProgress::Complete;
                 self.append(message)?;
             }
@@ -104,7 +104,7 @@
                 self.append(message)?;
             }
             b'E' => {
-                self.error = Some(pg::error_code(message.body)?.to_owned());
+                self.error = Some(pg::parse_error_code(message.body)?.to_owned());
                 self.bytes.clear();
                 self.append(message)?;
             }
@@ -129,13 +129,13 @@
 
     /// Whether more bytes of a result wait to be passed on than are kept of an answer.
     pub(super) fn is_full(&self) -> bool {
-        self.form == AnswerForm::Result && self.bytes.len() > pg::WHOLE_ROW
+        self.form == AnswerForm::Result && self.bytes.len() > pg::MAX_BUFFERED_ROW
     }
 
     /// Takes a ParameterStatus message that reports the db host's own state. Returns false for any other
     /// parameter.
     fn record_status(&mut self, message: &pg::Message) -> bool {
-        match pg::parameter_status(message.body) {
+        match pg::parse_parameter_status(message.body) {
             Some(("log_position", value)) => {
                 self.position = value.parse().ok();
             }
@@ -148,7 +148,7 @@
 
     fn append(&mut self, message: &pg::Message) -> Result<(), Malformed> {
         let before = if self.form == AnswerForm::Result { 0 } else { self.bytes.len() };
-        if before + message.size > pg::LONGEST_ANSWER {
+        if before + message.size > pg::MAX_BUFFERED_ANSWER {
             return Err(Malformed("the answer is too long"));
         }
         self.held.set(self.bytes.len() + message.size);
--- a/crates/gradeshunt/src/backend/tests.rs
+++ b/crates/gradeshunt/src/backend/tests.rs
@@ -16,10 +16,10 @@
 use super::hosts::ListedHost;
 use super::jobs::unsent_ending;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{AnswerForm, AttemptId, BackendCommand, Body, Exchange, IncomingRequest};
 use crate::pg::Writer;
-use crate::turn::{Ready, Turn};
+use crate::turn::{ReadySources, Turn};
 
 /// An attempt that waited at least half of the connect time-out for a connection must report that the host is
 /// unreachable. Most attempts end before the whole time-out, and each that reports nothing is followed by
@@ -37,7 +37,7 @@
     exchange: Exchange,
     turn: Turn,
     host: TcpListener,
-    _event_loop: calloop::EventLoop<'static, Ready>,
+    _event_loop: calloop::EventLoop<'static, ReadySources>,
 }
 
 const MEMBER: MemberId = MemberId(0);
@@ -93,7 +93,7 @@
 
     /// Like `open`, with `edit` applied to the configuration.
     fn open_with(edit: impl Fn(&mut serde_json::Value)) -> Fixture {
-        let event_loop = calloop::EventLoop::<Ready>::try_new().expect("cannot create an event loop");
+        let event_loop = calloop::EventLoop::<ReadySources>::try_new().expect("cannot create an event loop");
         let mut turn = Turn::new(event_loop.handle(), slog::Logger::root(slog::Discard, slog::o!()));
         turn.now = 0;
         let config = std::fs::read_to_string("../../examples/config.json")
@@ -165,8 +165,8 @@
     /// Advances the clock by `time` and handles the connections' deadlines.
     fn advance_time(&mut self, time: Micros) {
         self.turn.now += time;
-        while let Some(due) = self.turn.deadlines.pop(self.turn.now) {
-            if let Due::Server(id) = due {
+        while let Some(due) = self.turn.deadlines.pop_expired(self.turn.now) {
+            if let DeadlineKind::Server(id) = due {
                 self.backend.connection_due(&mut self.turn, &mut self.exchange, id);
             }
         }
@@ -227,8 +227,8 @@
     server.write_all(&Writer::default().ready().0).expect("the connection is closed");
     while fixture.backend.connections.values().all(|s| s.polled.is_quiet()) {}
     fixture.turn.now += PATIENCE / 2;
-    while let Some(due) = fixture.turn.deadlines.pop(fixture.turn.now) {
-        if let Due::Server(id) = due {
+    while let Some(due) = fixture.turn.deadlines.pop_expired(fixture.turn.now) {
+        if let DeadlineKind::Server(id) = due {
             fixture.backend.connection_due(&mut fixture.turn, &mut fixture.exchange, id);
         }
     }
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -1,5 +1,6 @@
-//! What a proxy spends on control: discovery's client, the list of db hosts, the decision module, and what passes between
-//! them. It knows no client's socket and no db host's: those who have them take the [`Step`]s that it hands out.
+//! The control part of a proxy: discovery's client, the list of db hosts, the decision module, and the data
+//! that passes between them. It has no sockets of clients or db hosts; the parts that have them carry out the
+//! [`Step`]s that it returns.
 
 use std::net::SocketAddr;
 
@@ -9,12 +10,12 @@
 
 use crate::backend::ListedHost;
 use crate::config::Config;
-use crate::deadlines::Due;
-use crate::discovery::{self, Discovery, News};
+use crate::deadlines::DeadlineKind;
+use crate::discovery::{self, Discovery, ListUpdate};
 use crate::exchange::{Answer, BackendCommand, Exchange};
 use crate::loop_stats::LoopStats;
 use crate::placing::Placing;
-use crate::turn::{Ready, Source, Turn};
+use crate::turn::{EventSource, ReadySources, Turn};
 
 /// The control part of a proxy.
 pub struct Core {
@@ -22,61 +23,66 @@
     pub(crate) exchange: Exchange,
     pub(crate) discovery: Discovery,
     pub(crate) loop_stats: LoopStats,
-    /// The list of db hosts from the configuration, until the proxy begins.
-    known: Option<News>,
-    news: Vec<News>,
+    /// The list of db hosts from the configuration, until [`Core::start`].
+    configured_list: Option<ListUpdate>,
+    /// Lists and changes from discovery that the decision module has not processed yet.
+    news: Vec<ListUpdate>,
 }
 
-/// What is left for the parts that have sockets.
+/// Work for the parts that have sockets.
 pub enum Step {
-    /// The module has heard of a list.
+    /// The db host side applies a list that the decision module has processed.
     List(List),
-    /// The module asks something of the db hosts' side.
+    /// The db host side carries out an order of the decision module.
     Order(BackendCommand),
-    /// A request's client is to be answered.
+    /// The client side answers a request.
     Answer(RequestId, Answer),
 }
 
-/// A list of db hosts that the module has heard of.
+/// A list of db hosts, or a change to it, that the decision module has processed.
 pub struct List {
     pub(crate) kind: ListKind,
     pub(crate) listed: Vec<ListedHost>,
 }
 
 impl List {
-    /// Whether discovery told it, and not the configuration.
-    pub fn is_heard(&self) -> bool {
+    /// Whether the list comes from discovery and not from the configuration.
+    pub fn is_from_discovery(&self) -> bool {
         matches!(self.kind, ListKind::Full | ListKind::Incremental)
     }
 
-    /// Whether discovery told it whole.
-    pub fn is_whole(&self) -> bool {
+    /// Whether discovery sent the complete list and not only a change.
+    pub fn is_complete(&self) -> bool {
         self.kind == ListKind::Full
     }
 
-    /// How many db hosts it tells of.
+    /// Number of db hosts in the list.
     pub fn entries(&self) -> usize {
         self.listed.len()
     }
 }
 
 impl Core {
-    /// The control part as the configuration describes it. Nothing is asked of discovery before [`Core::start`].
+    /// Creates the control part from the configuration. Discovery is not contacted before [`Core::start`].
     ///
     /// # Errors
     ///
-    /// Where the list of db hosts in the configuration can't be read.
+    /// If the list of db hosts in the configuration can't be parsed.
     pub fn new(
         config: &mut Config,
-        event_loop: &EventLoop<'static, Ready>,
+        event_loop: &EventLoop<'static, ReadySources>,
         log: Logger,
     ) -> Result<Core, String> {
         let turn = Turn::new(event_loop.handle(), log);
         let facts = &config.facts;
-        let pace = discovery::Pace::new(&facts.settings);
-        let mut discovery = Discovery::new(config.discovery, config.silence, facts.names.clone(), pace);
-        let known = std::mem::take(&mut config.known);
-        let known = if known.is_null() { None } else { Some(discovery.known(&turn.clock, &known)?) };
+        let pace = discovery::WatchPolicy::new(&facts.settings);
+        let mut discovery = Discovery::new(config.discovery, config.watch_silence, facts.names.clone(), pace);
+        let configured_list = std::mem::take(&mut config.known_list);
+        let configured_list = if configured_list.is_null() {
+            None
+        } else {
+            Some(discovery.read_known(&turn.clock, &configured_list)?)
+        };
         let tenants = config.tenants();
         let connect_timeout = facts.connections.connect_timeout;
         let placing = config.placement.take().map(|placement| Placing::new(placement, connect_timeout));
@@ -86,49 +92,51 @@
         exchange.sites = config.sites.take();
         exchange.placing = placing;
         let loop_stats = LoopStats::new(turn.now);
-        Ok(Core { turn, exchange, discovery, loop_stats, known, news: Vec::new() })
+        Ok(Core { turn, exchange, discovery, loop_stats, configured_list, news: Vec::new() })
     }
 
-    /// Takes in the list that the configuration gives, and watches discovery from now on.
+    /// Applies the list of db hosts from the configuration and starts to watch discovery.
     pub fn start(&mut self) {
-        // What is known may be old: it comes before anything that discovery tells.
-        self.news.extend(self.known.take());
+        // The configured list may be outdated, so it is applied before anything from discovery.
+        self.news.extend(self.configured_list.take());
         self.discovery.start(&mut self.turn, &mut self.news);
     }
 
-    /// Works off a source that has become ready; false where it is another part's.
-    pub fn event(&mut self, source: Source) -> bool {
-        let Source::Call(id) = source else { return false };
+    /// Processes a source that has become ready. Returns false if the source belongs to another part.
+    pub fn event(&mut self, source: EventSource) -> bool {
+        let EventSource::Call(id) = source else { return false };
         self.discovery.ready(&mut self.turn, id, &mut self.news);
         true
     }
 
-    /// Works off a deadline that has fallen due; false where it is another part's.
-    pub fn due(&mut self, due: Due) -> bool {
+    /// Processes an expired deadline. Returns false if the deadline belongs to another part.
+    pub fn due(&mut self, due: DeadlineKind) -> bool {
         match due {
-            Due::Module(tag) => self.exchange.timer_due(&mut self.turn, tag),
-            Due::Overdue(id) => self.exchange.answer_overdue(&mut self.turn, id),
-            Due::SendOn(id) => self.exchange.forward_due(&mut self.turn, id),
-            Due::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
-            Due::Reopen => self.discovery.reopen_due(&mut self.turn, &mut self.news),
+            DeadlineKind::Module(tag) => self.exchange.timer_due(&mut self.turn, tag),
+            DeadlineKind::Overdue(id) => self.exchange.answer_overdue(&mut self.turn, id),
+            DeadlineKind::ForwardAgain(id) => self.exchange.forward_due(&mut self.turn, id),
+            DeadlineKind::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
+            DeadlineKind::ReopenWatch => self.discovery.reopen_due(&mut self.turn, &mut self.news),
             _ => return false,
         }
         true
     }
 
-    /// Discovery is elsewhere from now on, or may be silent for another time.
-    pub(crate) fn move_discovery(&mut self, to: SocketAddr, silence: Micros) {
+    /// Changes discovery's address or the time for which discovery may be silent.
+    pub(crate) fn set_discovery(&mut self, to: SocketAddr, silence: Micros) {
         self.discovery.move_to(&mut self.turn, to, silence, &mut self.news);
     }
 
-    /// Carries on what stands between its parts, until there is something for another part to do, or nothing at all.
+    /// Passes queued data between the parts of the core until there is work for another part, or none is
+    /// left.
     pub fn step(&mut self) -> Option<Step> {
         loop {
-            // The module hears of a change before the pool acts on it, and before anything else is sent.
+            // The decision module processes a change of the list before the connection pool does, and before
+            // any further request is sent.
             self.news.extend(self.discovery.corrected_starts(&self.turn.clock));
             if !self.news.is_empty() {
                 let news = self.news.remove(0);
-                return Some(Step::List(self.tell(news)));
+                return Some(Step::List(self.apply_list(news)));
             }
             if let Some(order) = self.exchange.backend_commands.pop_front() {
                 return Some(Step::Order(order));
@@ -141,9 +149,9 @@
         }
     }
 
-    /// Tells the module of a list.
-    fn tell(&mut self, news: News) -> List {
-        let News { kind, entries, listed, unreadable, why } = news;
+    /// Passes a list to the decision module.
+    fn apply_list(&mut self, news: ListUpdate) -> List {
+        let ListUpdate { kind, entries, listed, unreadable, why } = news;
         for what in &why {
             warn!(self.turn.log, "unreadable entry in the list of db hosts"; "what" => what, "of" => unreadable);
         }
--- a/crates/gradeshunt/src/exchange.rs
+++ b/crates/gradeshunt/src/exchange.rs
@@ -23,7 +23,7 @@
 pub use self::endings::ending_name;
 pub use self::messages::{
     Answer, AnswerCheck, AnswerForm, AttemptEnd, BackendCommand, Body, DiscoveryCall, FinalAnswer, HostReply,
-    IncomingRequest, MAX_BUFFERED_ANSWER,
+    IncomingRequest, ANSWER_BUFFER_SIZE,
 };
 pub use self::state::Exchange;
 pub use self::trace::{AttemptTrace, ConnectionEnd};
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -1,7 +1,7 @@
 //! Checks attempts as they are written and final answers as they are given against the rules. Counts denials,
 //! violations and retries for operators.
 
-use leadmast::invariant::{violates_answer_time, violates_drain, Rule, Written};
+use leadmast::invariant::{violates_answer_time, violates_drain, Rule, WrittenAttempt};
 use leadmast::permission::AttemptDenial;
 use leadmast::{Effect, Ending, MemberId, Micros, RequestId};
 use slog::{debug, error, info, warn};
@@ -38,16 +38,16 @@
             Effect::Unsafe => Some(None),
             Effect::Keyed { window, .. } => Some(Some(since + window)),
         });
-        let written = Written {
+        let written = WrittenAttempt {
             at,
-            told,
+            remaining_sent: told,
             deadline: r.deadline,
             client_left: r.client_left_at,
             repeat_until,
             settled_at: r.settled_at,
-            others_out: r.others_out(attempt.number),
-            number: attempt.number,
-            attempts: self.limits.attempts,
+            others_in_flight: r.others_out(attempt.number),
+            attempt: attempt.number,
+            max_attempts: self.limits.max_attempts,
             second_copies: self.limits.second_copies,
         };
         for rule in written.violations() {
@@ -111,7 +111,7 @@
     /// Counts and logs why a request is not served.
     pub(super) fn record_reason(&mut self, turn: &Turn, id: RequestId, refused: bool, reason: FinalReason) {
         let outcome = if refused { "refused" } else { "failed" };
-        *self.figures.reasons.entry((outcome, reason.name())).or_default() += 1;
+        *self.figures.unserved.entry((outcome, reason.name())).or_default() += 1;
         let attempts = self.requests.get(&id).map(|r| r.attempts_begun);
         debug!(turn.log, "request not served"; "why" => reason.name(), "outcome" => outcome, "attempts" => attempts,
             "request" => id.0);
--- a/crates/gradeshunt/src/exchange/client_side.rs
+++ b/crates/gradeshunt/src/exchange/client_side.rs
@@ -1,14 +1,14 @@
 //! Events from the frontend: new requests, clients that disconnect or cancel, and how much of an answer they
 //! have read.
 
-use leadmast::permission::may_take;
+use leadmast::permission::may_accept;
 use leadmast::{Arrival, Effect, Event, RequestId};
 
-use super::messages::{BackendCommand, FinalAnswer, IncomingRequest, MAX_BUFFERED_ANSWER};
+use super::messages::{BackendCommand, FinalAnswer, IncomingRequest, ANSWER_BUFFER_SIZE};
 use super::reason::FinalReason;
 use super::request::Request;
 use super::state::Exchange;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::AttemptId;
 use crate::turn::Turn;
 
@@ -31,7 +31,7 @@
         } = incoming;
         self.summary_counts.requests += 1;
         // The balancer answers by the deadline. This timer answers the client should it fail to.
-        turn.deadlines.set(deadline + self.answer_slack, Due::Overdue(id));
+        turn.deadlines.set(deadline + self.answer_slack, DeadlineKind::Overdue(id));
         let place = tenant.map_or(self.figures.tenants.len() - 1, |t| t.0);
         let effect = self.effects.get(class.0).copied().unwrap_or(Effect::Unsafe);
         let request = Request::new(class, effect, group, tenant, place, deadline, body);
@@ -39,7 +39,7 @@
         let refused = FinalAnswer::Refused { retry_after: self.retry_after(class) };
         // The client's wait time ended while the request was queued: nobody would receive an attempt's
         // answer.
-        if may_take(turn.now, deadline).is_err() {
+        if may_accept(turn.now, deadline).is_err() {
             self.summary_counts.expired_unsent += 1;
             self.figures.expired_unsent += 1;
             self.give_final_answer(turn, id, refused, Some(FinalReason::Expired));
@@ -102,7 +102,7 @@
     pub fn update_unread(&mut self, id: RequestId, received: usize, buffered: usize) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return };
         r.queued_bytes = r.queued_bytes.saturating_sub(received);
-        r.room = MAX_BUFFERED_ANSWER.saturating_sub(buffered + r.queued_bytes);
+        r.room = ANSWER_BUFFER_SIZE.saturating_sub(buffered + r.queued_bytes);
         if let (Some(active), true) = (&r.active_attempt, r.awaits_room && r.room > 0) {
             r.awaits_room = false;
             self.backend_commands
--- a/crates/gradeshunt/src/exchange/decisions.rs
+++ b/crates/gradeshunt/src/exchange/decisions.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use leadmast::permission::{may_begin, repeat_by};
+use leadmast::permission::{may_begin, repeat_deadline};
 use leadmast::{Action, Ending, Entry, Event, ListKind, MemberId, Micros, Outcome, RequestId, TimerTag};
 use slog::debug;
 
@@ -10,7 +10,7 @@
 use super::messages::{BackendCommand, DiscoveryCall, FinalAnswer};
 use super::request::{ActiveAttempt, Request};
 use super::state::Exchange;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::AttemptId;
 use crate::site_loss;
 use crate::turn::Turn;
@@ -82,7 +82,7 @@
             }
             Action::Probe { member } => self.backend_commands.push_back(BackendCommand::Probe(member)),
             Action::Close { member } => self.backend_commands.push_back(BackendCommand::CloseIdle(member)),
-            Action::Timer { tag, at } => turn.deadlines.set(at, Due::Module(tag)),
+            Action::Timer { tag, at } => turn.deadlines.set(at, DeadlineKind::Module(tag)),
             Action::Watch => self.discovery_calls.push_back(DiscoveryCall::Watch),
             Action::Fetch => self.discovery_calls.push_back(DiscoveryCall::Fetch),
         }
@@ -111,7 +111,8 @@
         }
         // Db hosts recognize a repeat only within its window, counted from the first send. A connection that
         // comes up late must not carry it past that.
-        let write_by = repeat_by(facts.effect, facts.doubt, self.limits.margin).unwrap_or(until);
+        let write_by =
+            repeat_deadline(facts.effect, facts.possible_execution, self.limits.margin).unwrap_or(until);
         self.count_retry(after);
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.active_attempt = Some(ActiveAttempt { number, member, begun_at: turn.now });
@@ -127,7 +128,7 @@
     /// Reports the outcome of an attempt to the balancer.
     pub(super) fn report_outcome(&mut self, turn: &mut Turn, outcome: Outcome) {
         *self.summary_counts.endings.entry(ending_name(outcome.ending)).or_default() += 1;
-        site_loss::see(&mut self.sites, turn.now, outcome.member, outcome.ending, outcome.elapsed);
+        site_loss::record_ending(&mut self.sites, turn.now, outcome.member, outcome.ending, outcome.elapsed);
         self.handle_event(turn, Event::Outcome(outcome));
     }
 }
--- a/crates/gradeshunt/src/exchange/final_answers.rs
+++ b/crates/gradeshunt/src/exchange/final_answers.rs
@@ -6,7 +6,7 @@
 use super::messages::{Answer, FinalAnswer};
 use super::reason::FinalReason;
 use super::state::Exchange;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::turn::Turn;
 
 impl Exchange {
@@ -82,7 +82,7 @@
     pub(super) fn mark_over(&mut self, turn: &mut Turn, id: RequestId) -> bool {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return false };
         r.is_over = true;
-        turn.deadlines.clear(r.deadline + self.answer_slack, Due::Overdue(id));
+        turn.deadlines.clear(r.deadline + self.answer_slack, DeadlineKind::Overdue(id));
         self.remove_if_done(id);
         true
     }
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -2,7 +2,7 @@
 //! available and this proxy serves them itself.
 
 use gradeshunt_placement::Source;
-use leadmast::permission::{may_repeat, repeat_by, Doubt};
+use leadmast::permission::{may_repeat, repeat_deadline, PossibleExecution};
 use leadmast::{Arrival, Ending, Event, MemberId, Micros, RequestId};
 use slog::{debug, warn};
 
@@ -11,7 +11,7 @@
 use super::reason::FinalReason;
 use super::request::{ActiveAttempt, Forward};
 use super::state::Exchange;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::AttemptId;
 use crate::placing::{self, Decision};
 use crate::turn::Turn;
@@ -44,7 +44,7 @@
             placing.counts.direct += 1;
             return self.serve_here(turn, arrival);
         }
-        let bucket = placing::bucket(arrival.group, arrival.key, id.0);
+        let bucket = placing::session_bucket(arrival.group, arrival.key, id.0);
         self.choose_proxy(turn, id, Forward { arrival, bucket, tried: Vec::new() });
     }
 
@@ -60,7 +60,7 @@
     fn serve_here(&mut self, turn: &mut Turn, arrival: Arrival) {
         let id = arrival.request;
         self.handle_event(turn, Event::Request(arrival));
-        let beyond = self.balancer.is_beyond(id);
+        let beyond = self.balancer.exceeds_share(id);
         self.requests.get_mut(&id).into_iter().for_each(|r| r.exceeds_share = beyond);
     }
 
@@ -79,7 +79,8 @@
         // A home that has answered lately is given all of the time. For one that may be unresponsive, a
         // request that may be repeated keeps half of the time for the next home.
         let halfway = turn.now + (r.deadline - turn.now) / 2;
-        let is_responsive = self.placing.as_ref().is_some_and(|placing| placing.is_heard(turn.now, peer));
+        let is_responsive =
+            self.placing.as_ref().is_some_and(|placing| placing.has_answered_recently(turn.now, peer));
         let until = if !is_responsive && self.may_repeat(turn.now, id, halfway) {
             halfway.min(latest_end)
         } else {
@@ -89,8 +90,8 @@
         let number = FIRST_FORWARD + forward.tried.len() as u32;
         debug!(turn.log, "request forwarded to a home proxy"; "request" => id.0, "member" => peer.0);
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let doubt = r.outcome_unknown_since.map(|since| Doubt { since, zone: None });
-        let write_by = repeat_by(r.effect, doubt, self.limits.margin).map_or(until, |by| by.min(until));
+        let doubt = r.outcome_unknown_since.map(|since| PossibleExecution { sent_at: since, zone: None });
+        let write_by = repeat_deadline(r.effect, doubt, self.limits.margin).map_or(until, |by| by.min(until));
         r.active_attempt = Some(ActiveAttempt { number, member: peer, begun_at: turn.now });
         r.forward = Some(Box::new(forward));
         let body = std::rc::Rc::clone(&r.body);
@@ -107,7 +108,7 @@
     /// Whether a request that may have run may be sent again at `at`.
     fn may_repeat(&self, now: Micros, id: RequestId, at: Micros) -> bool {
         let Some(r) = self.requests.get(&id) else { return false };
-        let doubt = Doubt { since: r.outcome_unknown_since.unwrap_or(now), zone: None };
+        let doubt = PossibleExecution { sent_at: r.outcome_unknown_since.unwrap_or(now), zone: None };
         may_repeat(at, r.effect, Some(doubt), None, self.limits.margin).is_ok()
     }
 
@@ -176,7 +177,7 @@
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.forward = Some(Box::new(forward));
-        turn.deadlines.set(at, Due::SendOn(id));
+        turn.deadlines.set(at, DeadlineKind::ForwardAgain(id));
     }
 
     /// The close of the latest connection has settled: forwards the request, unless it is over by now.
@@ -206,11 +207,11 @@
                 | HostReply::PossibleDuplicate,
                 _,
             ) => {
-                placing.answered(turn.now, active.member, group);
+                placing.record_answer(turn.now, active.member, group);
             }
             (HostReply::Nothing, Ending::Moot | Ending::Cancelled | Ending::Ok | Ending::Error) => {}
             (HostReply::ShuttingDown, _) | (HostReply::Nothing, _) => {
-                if placing.failed(turn.now, active.member) {
+                if placing.record_failure(turn.now, active.member) {
                     let name = placing.name(active.member).map(str::to_owned);
                     warn!(turn.log, "home proxy is unavailable"; "ending" => endings::ending_name(ending), "name" => name);
                     self.abandon_peer(turn.now, active.member);
--- a/crates/gradeshunt/src/exchange/messages.rs
+++ b/crates/gradeshunt/src/exchange/messages.rs
@@ -8,10 +8,10 @@
 
 use super::trace::AttemptTrace;
 use crate::ids::AttemptId;
-use crate::memory::Held;
+use crate::memory::BufferBytes;
 
 /// Bytes of a long answer that may be buffered between the backend and a client.
-pub const MAX_BUFFERED_ANSWER: usize = 64 * 1024;
+pub const ANSWER_BUFFER_SIZE: usize = 64 * 1024;
 
 /// The shape that an answer must have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -30,12 +30,12 @@
     pub(super) wait_range: Option<Range<usize>>,
     /// The shape that its answer must have.
     pub form: AnswerForm,
-    held: Held,
+    held: BufferBytes,
 }
 
 impl Body {
     pub fn new(bytes: Vec<u8>, wait_at: Option<Range<usize>>, form: AnswerForm) -> Self {
-        let mut held = Held::default();
+        let mut held = BufferBytes::default();
         held.set(bytes.len());
         Body { bytes, wait_range: wait_at, form, held }
     }
--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use gradeshunt_placement::Bucket;
-use leadmast::permission::{Doubt, RequestFacts};
+use leadmast::permission::{PossibleExecution, RequestState};
 use leadmast::{Arrival, ClassId, Effect, Ending, GroupId, MemberId, Micros, TenantId};
 
-use super::messages::{Body, MAX_BUFFERED_ANSWER};
+use super::messages::{Body, ANSWER_BUFFER_SIZE};
 use super::reason::FinalReason;
 use super::trace::{ConnectionEnd, EndedAttempt};
 
@@ -103,22 +103,24 @@
             last_error: None,
             forward: None,
             answer_begun: false,
-            room: MAX_BUFFERED_ANSWER,
+            room: ANSWER_BUFFER_SIZE,
             queued_bytes: 0,
             awaits_room: false,
         }
     }
 
     /// The facts by which the rules allow or deny an attempt.
-    pub(super) fn facts(&self) -> RequestFacts {
-        RequestFacts {
+    pub(super) fn facts(&self) -> RequestState {
+        RequestState {
             effect: self.effect,
             deadline: self.deadline,
             answered: self.is_over,
             client_left: self.client_left_at.is_some(),
-            begun: self.attempts_begun,
-            out: u32::from(self.active_attempt.is_some()),
-            doubt: self.outcome_unknown_since.map(|since| Doubt { since, zone: None }),
+            attempts_begun: self.attempts_begun,
+            in_flight: u32::from(self.active_attempt.is_some()),
+            possible_execution: self
+                .outcome_unknown_since
+                .map(|since| PossibleExecution { sent_at: since, zone: None }),
             settled_at: self.settled_at,
         }
     }
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -8,7 +8,7 @@
 use super::reason::FinalReason;
 use super::state::Exchange;
 use super::trace::{ConnectionEnd, EndedAttempt};
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::ids::AttemptId;
 use crate::site_loss;
 use crate::turn::Turn;
@@ -39,7 +39,7 @@
         r.queued_bytes += bytes.len();
         self.answers.push_back((id, Answer::Part(bytes)));
         if !std::mem::replace(&mut r.answer_begun, true) {
-            turn.deadlines.clear(r.deadline + self.answer_slack, Due::Overdue(id));
+            turn.deadlines.clear(r.deadline + self.answer_slack, DeadlineKind::Overdue(id));
             // The balancer does not know of requests that another proxy serves.
             if r.forward.is_none() {
                 let last = true;
@@ -114,7 +114,7 @@
 
     /// A probe has ended.
     pub fn probe_ended(&mut self, turn: &mut Turn, probed: Probed) {
-        site_loss::see(&mut self.sites, turn.now, probed.member, probed.ending, probed.elapsed);
+        site_loss::record_ending(&mut self.sites, turn.now, probed.member, probed.ending, probed.elapsed);
         self.handle_event(turn, Event::Probed(probed));
     }
 }
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -10,7 +10,7 @@
 use super::messages::{Answer, BackendCommand, DiscoveryCall};
 use super::request::Request;
 use super::tally::SummaryCounts;
-use crate::figures::{Count, Figures, TenantCount};
+use crate::figures::{Metrics, OutcomeCounts, TenantCount};
 use crate::placing::Placing;
 use crate::site_loss;
 
@@ -26,7 +26,7 @@
     pub(super) is_handling_event: bool,
     pub(super) actions: Vec<Action>,
     pub(super) summary_counts: SummaryCounts,
-    pub(super) figures: Figures,
+    pub(super) figures: Metrics,
     /// Names of the tenants, in the order of [`Figures::tenants`]; empty where the settings name none.
     pub(super) tenants: Vec<String>,
     /// The operators' plan for the loss of a site, if there is one. `crate::proxy::sites` carries out its
@@ -52,14 +52,14 @@
     pub fn new(settings: Settings, tenants: Vec<String>, seed: u64, now: Micros) -> Self {
         Exchange {
             tenants,
-            figures: Figures {
-                classes: vec![Count::default(); settings.classes.len()],
+            figures: Metrics {
+                classes: vec![OutcomeCounts::default(); settings.classes.len()],
                 tenants: vec![TenantCount::default(); settings.tenants.len() + 1],
-                ..Figures::default()
+                ..Metrics::default()
             },
             answer_slack: settings.rules.answer_slack,
             limits: AttemptLimits {
-                attempts: settings.allowed.attempts,
+                max_attempts: settings.allowed.max_attempts,
                 // This proxy never runs two attempts of a request at once, whatever the settings allow.
                 second_copies: false,
                 margin: settings.tick,
@@ -69,7 +69,7 @@
             placing: None,
             forward_time: settings.tick,
             effects: settings.classes.iter().map(|c| c.effect).collect(),
-            retry_after: settings.classes.iter().map(|c| site_loss::back(&settings, c)).collect(),
+            retry_after: settings.classes.iter().map(|c| site_loss::retry_after(&settings, c)).collect(),
             balancer: Balancer::new(settings, seed, now),
             requests: BTreeMap::new(),
             next_request: 0,
--- a/crates/gradeshunt/src/exchange/tally.rs
+++ b/crates/gradeshunt/src/exchange/tally.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use crate::figures::Count;
+use crate::figures::OutcomeCounts;
 
 /// Counts since the last summary in the log.
 #[derive(Default)]
 pub(super) struct SummaryCounts {
     pub(super) requests: u32,
-    pub(super) final_answers: Count,
+    pub(super) final_answers: OutcomeCounts,
     pub(super) clients_gone: u32,
     pub(super) gone_unsent: u32,
     pub(super) sent_after_gone: u32,
--- a/crates/gradeshunt/src/exchange/tests.rs
+++ b/crates/gradeshunt/src/exchange/tests.rs
@@ -8,7 +8,7 @@
     AnswerForm, AttemptEnd, AttemptId, AttemptTrace, BackendCommand, Body, ConnectionEnd, Exchange,
     HostReply, IncomingRequest,
 };
-use crate::turn::{Ready, Turn};
+use crate::turn::{ReadySources, Turn};
 
 const GROUP: GroupId = GroupId(0);
 const DEADLINE: Micros = 1_000_000;
@@ -18,7 +18,7 @@
     exchange: Exchange,
     turn: Turn,
     first: AttemptId,
-    _event_loop: calloop::EventLoop<'static, Ready>,
+    _event_loop: calloop::EventLoop<'static, ReadySources>,
 }
 
 fn entry(number: u32) -> Entry {
@@ -48,7 +48,7 @@
 
     /// Like `open`, with `effect` in place of the class's own effect.
     fn open_with(effect: Option<Effect>) -> Fixture {
-        let event_loop = calloop::EventLoop::<Ready>::try_new().expect("cannot create an event loop");
+        let event_loop = calloop::EventLoop::<ReadySources>::try_new().expect("cannot create an event loop");
         let mut turn = Turn::new(event_loop.handle(), slog::Logger::root(slog::Discard, slog::o!()));
         turn.now = turn.clock.now();
         let config = std::fs::read_to_string("../../examples/config.json")
@@ -95,7 +95,7 @@
         self.exchange.attempt_ended(&mut self.turn, ended);
         let repeat = next_started_attempt(&mut self.exchange).expect("no further attempt was started");
         self.exchange.attempt_written(&self.turn, repeat, None);
-        self.exchange.figures().violations.of(Rule::OneAttempt)
+        self.exchange.figures().violations.count(Rule::OneAttempt)
     }
 }
 
@@ -111,7 +111,7 @@
     fixture.exchange.timer_due(&mut fixture.turn, TimerTag(0));
     let repeat = AttemptId { number: fixture.first.number + 1, ..fixture.first };
     fixture.exchange.attempt_written(&fixture.turn, repeat, None);
-    fixture.exchange.figures().violations.of(Rule::Repeat)
+    fixture.exchange.figures().violations.count(Rule::Repeat)
 }
 
 /// A repeat of an unsafe write must be counted as a violation whenever the earlier attempt was written and
--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -1,4 +1,4 @@
-//! The client side: the listener and the clients' sessions.
+//! The client side: the listeners and the sessions of clients and of other proxies.
 
 mod answers;
 mod closing;
@@ -21,73 +21,77 @@
 use leadmast::{Micros, RequestId, Settings};
 
 use self::session::Session;
-use crate::exchange::MAX_BUFFERED_ANSWER;
+use crate::exchange::ANSWER_BUFFER_SIZE;
 use crate::ids::SessionId;
-use crate::pg::{LONGEST_ANSWER, WHOLE_ROW};
-use crate::ring::LARGEST;
+use crate::pg::{MAX_BUFFERED_ANSWER, MAX_BUFFERED_ROW};
+use crate::ring::MAX_RING_SIZE;
 use crate::routing::{Router, Rules};
 use crate::turn::{Polled, Turn};
 
-/// No further request is begun while this much of earlier answers is unread: the ring has room for one more.
-const UNREAD_LIMIT: usize = LARGEST - LONGEST_ANSWER - 1024;
-/// A final answer has to fit behind what is unread: one of a value, at most [`UNREAD_LIMIT`]; the rest of a whole result, of which
-/// no more is held than this, too.
+/// No further request of a session starts while its client has left more than this many bytes of answers
+/// unread, so that the output ring always has room for one more answer.
+const MAX_UNREAD_BYTES: usize = MAX_RING_SIZE - MAX_BUFFERED_ANSWER - 1024;
+// A final answer always fits into the output ring behind the bytes that the client has not read yet. Those
+// are at most `MAX_UNREAD_BYTES` when a request starts; of a streamed result, at most `ANSWER_BUFFER_SIZE` and one whole row
+// are buffered.
 const _: () = assert!(
-    UNREAD_LIMIT + LONGEST_ANSWER < LARGEST && MAX_BUFFERED_ANSWER + WHOLE_ROW + LONGEST_ANSWER < LARGEST
+    MAX_UNREAD_BYTES + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
+        && ANSWER_BUFFER_SIZE + MAX_BUFFERED_ROW + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
 );
 
-/// Who waits for a request, and its id.
-struct Owner {
+/// The session that waits for a request's answer, and the request's id as the client gave it.
+struct RequestOwner {
     session: SessionId,
     id: Rc<str>,
 }
 
-/// Whom the proxy serves.
+/// Whether the proxy serves clients or drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Service {
+enum ServiceState {
     Running,
-    /// Operators drain it: clients are served, and closed between requests.
+    /// An operator drains the proxy: requests are still served, and clients are closed between requests.
     Standby,
-    /// After SIGTERM likewise, and for good.
+    /// The proxy drains after SIGTERM; it does not return to another state.
     Closing,
 }
 
 /// The client side.
 pub struct Frontend {
     listener: Option<Polled<TcpListener>>,
-    /// Since when connections may stand in the backlog that could not be accepted, of clients and of other proxies.
+    /// The time since which connections may have waited in the listen backlog because accepting them failed:
+    /// of clients [0] and of other proxies [1].
     backlog_since: [Option<Micros>; 2],
-    /// Where other proxies connect, and the names of those that may.
+    /// The listener for other proxies, and the names of the proxies that may connect to it.
     peer_listener: Option<Polled<TcpListener>>,
     peer_names: BTreeSet<String>,
     settings: Settings,
     names: Names,
-    most: usize,
-    most_memory: usize,
+    max_clients: usize,
+    max_buffered: usize,
     sessions: BTreeMap<SessionId, Session>,
-    owners: HashMap<RequestId, Owner>,
-    /// What the secrets of cancel requests are made from.
-    secrets: RandomState,
-    /// The ids of open requests, as clients gave them.
-    ids: HashSet<Rc<str>>,
-    next: u64,
-    service: Service,
-    /// After SIGTERM: until when all that is still taken has its answer.
+    owners: HashMap<RequestId, RequestOwner>,
+    /// Hashes session ids into the secret keys that cancel requests must present.
+    secret_hasher: RandomState,
+    /// The ids of requests in progress, as clients gave them.
+    open_ids: HashSet<Rc<str>>,
+    next_session: u64,
+    service: ServiceState,
+    /// After SIGTERM: the time by which every accepted request is answered.
     drain_deadline: Option<Micros>,
-    /// Clients closed to make room since the last summary, by how readily.
-    evicted: [u32; 6],
-    /// Clients closed from here since the start, by reason.
-    pub closes: BTreeMap<&'static str, u64>,
-    /// Whether the proxy knows of db hosts at all.
+    /// Clients closed to make room since the last summary, counted by eviction rank.
+    evictions_by_rank: [u32; 6],
+    /// Client connections that the proxy closed since its start, by reason.
+    pub close_counts: BTreeMap<&'static str, u64>,
+    /// Whether the proxy has a list of db hosts yet.
     pub has_hosts: bool,
-    /// Routes of plain statements, where the operators' file gives some.
+    /// Routes statements without a routing comment; `None` if no rules file is configured.
     router: Option<Router>,
-    /// Plain statements so far: each has a name of its own.
-    plain: u64,
+    /// Number of plain statements so far, from which each gets a unique id.
+    plain_statements: u64,
 }
 
 impl Frontend {
-    /// A client side that has yet to be opened.
+    /// Creates a client side without listeners; [`Frontend::open`] adds the clients' listener.
     pub fn new(settings: Settings, names: Names) -> Self {
         Frontend {
             listener: None,
@@ -96,53 +100,55 @@
             peer_names: BTreeSet::new(),
             settings,
             names,
-            most: 0,
-            most_memory: 0,
+            max_clients: 0,
+            max_buffered: 0,
             sessions: BTreeMap::new(),
             owners: HashMap::new(),
-            secrets: RandomState::new(),
-            ids: HashSet::new(),
-            next: 0,
-            service: Service::Running,
+            secret_hasher: RandomState::new(),
+            open_ids: HashSet::new(),
+            next_session: 0,
+            service: ServiceState::Running,
             drain_deadline: None,
-            evicted: [0; 6],
-            closes: BTreeMap::new(),
+            evictions_by_rank: [0; 6],
+            close_counts: BTreeMap::new(),
             has_hosts: false,
             router: None,
-            plain: 0,
+            plain_statements: 0,
         }
     }
 
-    /// Plain statements are routed by these rules from now on, or refused where there are none.
-    pub fn route_by(&mut self, rules: Option<Rules>) {
+    /// Replaces the rules that route plain statements; without rules, plain statements are refused.
+    pub fn set_rules(&mut self, rules: Option<Rules>) {
         use std::hash::BuildHasher;
         let secret = || RandomState::new().hash_one(0_u8);
         self.router = rules.map(|rules| Router::new(rules, Key(secret(), secret())));
     }
 
-    /// How plain statements fare, as text.
+    /// Returns the counters of plain statements in the text exposition format, or `None` without rules.
     pub fn exposition(&self) -> Option<String> {
         self.router.as_ref().map(Router::exposition)
     }
 
-    /// Holds `most` clients at most; none gets more memory once `most_memory` is held.
-    pub fn limit(&mut self, turn: &mut Turn, most: usize, most_memory: usize) {
-        (self.most, self.most_memory) = (most, most_memory);
-        // Another process has the rest from now on.
-        while self.sessions.len() > most && self.evict_one(turn) {}
+    /// Sets the maximum number of clients, and the number of buffered bytes in the process from which on no
+    /// client may buffer a large request.
+    pub fn set_limits(&mut self, turn: &mut Turn, max_clients: usize, max_buffered: usize) {
+        (self.max_clients, self.max_buffered) = (max_clients, max_buffered);
+        // During an upgrade the limit shrinks because another process takes the rest of it.
+        while self.sessions.len() > max_clients && self.evict_one(turn) {}
     }
 
-    /// After SIGTERM no request is held beyond `at`: whoever told us to end may kill us soon after.
+    /// Bounds the deadline of every request by `at`. After SIGTERM the platform kills the process when its
+    /// grace period ends, so no request may be held longer.
     pub fn set_drain_deadline(&mut self, at: Micros) {
         self.drain_deadline = Some(at);
     }
 
-    /// Whether clients are accepted, or may be again.
-    pub fn serves(&self) -> bool {
-        self.service != Service::Closing || self.listener.is_some() || self.peer_listener.is_some()
+    /// Whether clients are accepted, or may be accepted again later.
+    pub fn may_accept_clients(&self) -> bool {
+        self.service != ServiceState::Closing || self.listener.is_some() || self.peer_listener.is_some()
     }
 
-    /// Whether clients are connected.
+    /// Whether any client or other proxy is connected.
     pub fn has_clients(&self) -> bool {
         !self.sessions.is_empty()
     }
--- a/crates/gradeshunt/src/loop_stats.rs
+++ b/crates/gradeshunt/src/loop_stats.rs
@@ -1,5 +1,6 @@
-//! How the loop fares: its turns, what they are spent on, and how late it wakes. While a turn lasts nobody else is
-//! served, so a long one is told, with what it was spent on and what the system says of it.
+//! Statistics of the event loop: its turns, what the time goes to, and how late it wakes. During a turn
+//! nothing else is served, so a long one is logged together with what it was spent on and the system's
+//! statistics.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,44 +10,45 @@
 
 use crate::proc_stats::{ProcStats, Sample};
 
-/// A turn that takes longer is told in the log.
-const SLOW: Micros = 50_000;
-/// What stands unread for less is not counted.
-const BRIEF: Micros = 5_000;
+/// A turn that takes longer is logged.
+const SLOW_TURN: Micros = 50_000;
+/// Shorter times of waiting to be read count as zero.
+const MIN_UNREAD: Micros = 5_000;
 /// Greatest age of the sample that a long turn is compared with, as long as turns are short.
 const SAMPLE_AGE: Micros = 50_000;
 
-/// The longest of something in a span of the summary's length, and in the span before it: so that a scrape misses none.
+/// The longest of some times in the current summary interval and in the one before, so that no scrape misses
+/// one.
 #[derive(Clone, Copy, Debug, Default)]
 struct Longest {
-    now: Micros,
-    before: Micros,
-    ever: Micros,
+    current: Micros,
+    previous: Micros,
+    since_start: Micros,
 }
 
 impl Longest {
     fn add(&mut self, took: Micros) {
-        self.now = self.now.max(took);
-        self.ever = self.ever.max(took);
+        self.current = self.current.max(took);
+        self.since_start = self.since_start.max(took);
     }
 
-    fn of_late(&self) -> Micros {
-        self.now.max(self.before)
+    fn recent(&self) -> Micros {
+        self.current.max(self.previous)
     }
 
-    fn pass(&mut self) {
-        self.before = std::mem::take(&mut self.now);
+    fn start_interval(&mut self) {
+        self.previous = std::mem::take(&mut self.current);
     }
 }
 
-/// One turn as it was.
+/// Record of one turn.
 #[derive(Debug, PartialEq, Eq)]
 struct TurnRecord {
-    /// From the wake-up to the end.
+    /// Time from the wake-up to the end.
     took: Micros,
-    /// How long after it should have woken, and could have, it did.
+    /// How late the loop woke, counted from when it should and could have.
     late: Micros,
-    /// What it was spent on: each kind of source, its part, and how often it came.
+    /// What the turn was spent on: each kind of source, its time, and its number of events.
     parts: Vec<(&'static str, Micros, u32)>,
 }
 
@@ -57,13 +59,13 @@
     start: Micros,
     last: Micros,
     late: Micros,
-    /// How long the turn before this one took.
-    former: Micros,
+    /// How long the previous turn took.
+    previous_took: Micros,
     spent: BTreeMap<&'static str, (Micros, u32)>,
     turns: u64,
-    slow: u64,
-    longest: Longest,
-    latest: Longest,
+    slow_turns: u64,
+    longest_turn: Longest,
+    latest_wake: Longest,
     by_source: BTreeMap<&'static str, Longest>,
 }
 
@@ -76,45 +78,45 @@
             start: now,
             last: now,
             late: 0,
-            former: 0,
+            previous_took: 0,
             spent: BTreeMap::new(),
             turns: 0,
-            slow: 0,
-            longest: Longest::default(),
-            latest: Longest::default(),
+            slow_turns: 0,
+            longest_turn: Longest::default(),
+            latest_wake: Longest::default(),
             by_source: BTreeMap::new(),
         }
     }
 
-    /// A turn begins; it should have begun by `until`, where there was a deadline.
+    /// Begins a turn, which should have begun by `until` if there was a deadline.
     pub fn begin(&mut self, now: Micros, until: Option<Micros>) {
-        // What fell due while the turn before it lasted is that turn's fault.
+        // What fell due during the previous turn is that turn's lateness.
         self.late = until.map_or(0, |at| (now - at.max(self.last)).max(0));
-        self.former = self.last - self.start;
+        self.previous_took = self.last - self.start;
         (self.start, self.last) = (now, now);
         if now - self.sampled.0 > SAMPLE_AGE {
             self.sampled = (now, self.proc_stats.sample());
         }
     }
 
-    /// How long what is read in this turn may have stood unread: it has come at any time since the turn before it
-    /// began to work, or since the loop should have woken. Short times are no news, and count as none.
-    pub fn unread(&self) -> Micros {
-        Some(self.late.max(self.former)).filter(|t| *t > BRIEF).unwrap_or(0)
+    /// Returns how long the data read in this turn may have waited unread: it arrived at any time since the
+    /// previous turn began its work, or since the loop should have woken. Short times count as zero.
+    pub fn time_unread(&self) -> Micros {
+        Some(self.late.max(self.previous_took)).filter(|t| *t > MIN_UNREAD).unwrap_or(0)
     }
 
-    /// One source of it, or deadline, is worked off.
-    pub fn worked(&mut self, name: &'static str, now: Micros) {
+    /// Records that an event of this source, or a deadline, has been handled.
+    pub fn record_source(&mut self, name: &'static str, now: Micros) {
         let (took, times) = self.spent.entry(name).or_default();
         *took += now - self.last;
         *times += 1;
         self.last = now;
     }
 
-    /// The turn ends.
+    /// Ends the turn, and logs it if it was long or late.
     pub fn end(&mut self, log: &Logger) {
         let turn = self.record_turn();
-        if turn.took <= SLOW && turn.late <= SLOW {
+        if turn.took <= SLOW_TURN && turn.late <= SLOW_TURN {
             return;
         }
         let now = self.proc_stats.sample();
@@ -122,7 +124,7 @@
         self.sampled = (self.last, now);
         let parts: Vec<_> =
             turn.parts.iter().map(|(name, took, n)| format!("{name}={}ms/{n}", took / 1000)).collect();
-        let what = if turn.took > SLOW { "a turn took long" } else { "the loop woke late" };
+        let what = if turn.took > SLOW_TURN { "a turn took long" } else { "the loop woke late" };
         warn!(log, "{}", what; "ms" => turn.took / 1000, "late_ms" => turn.late / 1000, "spent" => parts.join(","),
             "cpu_ms" => since.ran / 1000, "without_cpu_ms" => since.waited / 1000, "major_faults" => since.major_faults,
             "stolen_ms" => since.stolen / 1000);
@@ -137,34 +139,35 @@
             self.by_source.entry(name).or_default().add(*took);
         }
         self.turns += 1;
-        self.slow += u64::from(took > SLOW);
-        self.longest.add(took);
-        self.latest.add(self.late);
+        self.slow_turns += u64::from(took > SLOW_TURN);
+        self.longest_turn.add(took);
+        self.latest_wake.add(self.late);
         TurnRecord { took, late: self.late, parts }
     }
 
-    /// Sums up in the log, and begins a new span.
+    /// Logs a summary, and begins a new interval.
     pub fn log_summary(&mut self, log: &Logger) {
-        let worst = self.by_source.iter().max_by_key(|(_, l)| l.now);
-        info!(log, "loop"; "turns" => self.turns, "longest_us" => self.longest.now, "latest_us" => self.latest.now,
-            "most_by" => worst.map(|(name, _)| *name), "most_by_us" => worst.map(|(_, l)| l.now));
-        self.longest.pass();
-        self.latest.pass();
-        self.by_source.values_mut().for_each(Longest::pass);
+        let worst = self.by_source.iter().max_by_key(|(_, l)| l.current);
+        info!(log, "loop"; "turns" => self.turns, "longest_us" => self.longest_turn.current, "latest_us" => self.latest_wake.current,
+            "most_by" => worst.map(|(name, _)| *name), "most_by_us" => worst.map(|(_, l)| l.current));
+        self.longest_turn.start_interval();
+        self.latest_wake.start_interval();
+        self.by_source.values_mut().for_each(Longest::start_interval);
     }
 
-    /// The figures as text: times in microseconds, the longest of the last 10 to 20 s and since the start.
+    /// Returns the statistics as text: times in microseconds, the longest of the last 10 to 20 s and since
+    /// the start.
     pub fn exposition(&self) -> String {
         let mut text = format!(
             "# TYPE app_loop_turns counter\napp_loop_turns {}\n# TYPE app_loop_slow_turns counter\napp_loop_slow_turns {}\n",
-            self.turns, self.slow
+            self.turns, self.slow_turns
         );
         let mut gauge = |name: &str, label: &str, l: &Longest| {
-            let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"late\"}} {}", l.of_late());
-            let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"ever\"}} {}", l.ever);
+            let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"late\"}} {}", l.recent());
+            let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"ever\"}} {}", l.since_start);
         };
-        gauge("longest_turn", "", &self.longest);
-        gauge("latest_wake", "", &self.latest);
+        gauge("longest_turn", "", &self.longest_turn);
+        gauge("latest_wake", "", &self.latest_wake);
         for (name, longest) in &self.by_source {
             gauge("longest_source", &format!("source=\"{name}\","), longest);
         }
--- a/crates/gradeshunt/src/ring.rs
+++ b/crates/gradeshunt/src/ring.rs
@@ -1,38 +1,38 @@
-//! The ring buffer that each connection has for each direction.
+//! The ring buffer of a connection, one for each direction.
 
 use std::io::{self, IoSlice, IoSliceMut, Read, Write};
 use std::net::TcpStream;
 
 use rustix::io::Errno;
 
-use crate::memory::Held;
+use crate::memory::BufferBytes;
 
-/// A ring starts at this size,
-pub const SMALL: usize = 2 * 1024;
-/// and grows up to this one: the longest message, and an empty query before it.
-pub const LARGEST: usize = 256 * 1024;
+/// Initial size of a ring's buffer in bytes.
+pub const INITIAL_RING_SIZE: usize = 2 * 1024;
+/// Maximum size of a ring's buffer in bytes: the longest message with an empty query before it.
+pub const MAX_RING_SIZE: usize = 256 * 1024;
 
-/// How often a call is made for which the system lacks memory, before its connection counts as broken.
-const MOST_WANTS: usize = 64;
+/// How often a system call is retried that fails for want of memory, before its connection counts as broken.
+const MAX_MEMORY_RETRIES: usize = 64;
 
-/// What one read or write of the socket came to.
+/// The result of one read or write of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Moved {
-    /// So many bytes.
-    Some(usize),
-    /// Nothing now: the socket would block, or the ring has no room or no bytes.
-    Nothing,
-    /// The peer has ended its sending.
+pub enum Transfer {
+    /// This many bytes moved.
+    Bytes(usize),
+    /// No byte moved: the socket would block, or the ring is full (read) or empty (write).
+    Blocked,
+    /// The peer has shut down its sending side.
     End,
 }
 
-/// A byte queue over a buffer that grows up to [`LARGEST`] and shrinks when it is empty.
+/// A byte queue over a buffer that grows up to [`MAX_RING_SIZE`] and shrinks when it is empty.
 #[derive(Default)]
 pub struct Ring {
     buf: Vec<u8>,
     head: usize,
     len: usize,
-    held: Held,
+    held: BufferBytes,
 }
 
 impl Ring {
@@ -45,17 +45,17 @@
     }
 
     pub fn is_full(&self) -> bool {
-        self.len >= LARGEST
+        self.len >= MAX_RING_SIZE
     }
 
-    /// Appends bytes; false, with nothing taken, where they don't fit.
+    /// Appends all bytes, or none and returns false if they don't fit.
     #[must_use]
     pub fn push(&mut self, bytes: &[u8]) -> bool {
-        if self.len + bytes.len() > LARGEST {
+        if self.len + bytes.len() > MAX_RING_SIZE {
             return false;
         }
         self.grow(self.len + bytes.len());
-        let (first, second) = self.spare();
+        let (first, second) = self.free_space();
         let n = first.len().min(bytes.len());
         first[..n].copy_from_slice(&bytes[..n]);
         second[..bytes.len() - n].copy_from_slice(&bytes[n..]);
@@ -63,23 +63,24 @@
         true
     }
 
-    /// Makes room for so many bytes in all, where more than a few are about to come.
+    /// Grows the buffer to hold `size` bytes in total, if more than a few are expected.
     pub fn reserve(&mut self, size: usize) {
         self.grow(size);
     }
 
+    /// Removes the first `n` bytes.
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
         self.head = if self.len == 0 { 0 } else { (self.head + n) % self.buf.len() };
-        // Most connections are idle most of the time: they must not keep what their largest message took.
-        if self.len == 0 && self.buf.len() > SMALL {
+        // Most connections are idle most of the time, so an empty ring frees the memory of a large message.
+        if self.len == 0 && self.buf.len() > INITIAL_RING_SIZE {
             self.buf = Vec::new();
             self.held.set(0);
         }
     }
 
-    /// All bytes in one piece.
+    /// All bytes as one slice.
     pub fn bytes(&mut self) -> &[u8] {
         if self.head + self.len > self.buf.len() {
             self.buf.rotate_left(self.head);
@@ -88,42 +89,42 @@
         &self.buf[self.head..self.head + self.len]
     }
 
-    /// Reads once from the socket, into what room there is.
-    pub fn fill(&mut self, mut socket: &TcpStream) -> io::Result<Moved> {
+    /// Reads once from the socket into the free space.
+    pub fn read_from(&mut self, mut socket: &TcpStream) -> io::Result<Transfer> {
         if self.is_full() {
-            return Ok(Moved::Nothing);
+            return Ok(Transfer::Blocked);
         }
         if self.len == self.buf.len() {
             self.grow(self.len + 1);
         }
-        let (first, second) = self.spare();
+        let (first, second) = self.free_space();
         let mut parts = [IoSliceMut::new(first), IoSliceMut::new(second)];
-        match made_again(|| socket.read_vectored(&mut parts)) {
-            Ok(0) => Ok(Moved::End),
+        match retry_interrupted(|| socket.read_vectored(&mut parts)) {
+            Ok(0) => Ok(Transfer::End),
             Ok(n) => {
                 self.len += n;
-                Ok(Moved::Some(n))
+                Ok(Transfer::Bytes(n))
             }
-            Err(e) => blocked(e),
+            Err(e) => map_would_block(e),
         }
     }
 
     /// Writes once to the socket.
-    pub fn drain(&mut self, mut socket: &TcpStream) -> io::Result<Moved> {
+    pub fn write_to(&mut self, mut socket: &TcpStream) -> io::Result<Transfer> {
         if self.len == 0 {
-            return Ok(Moved::Nothing);
+            return Ok(Transfer::Blocked);
         }
         let end = self.head + self.len;
         let first = &self.buf[self.head..end.min(self.buf.len())];
         let second = &self.buf[..end.saturating_sub(self.buf.len())];
         let parts = [IoSlice::new(first), IoSlice::new(second)];
-        match made_again(|| socket.write_vectored(&parts)) {
+        match retry_interrupted(|| socket.write_vectored(&parts)) {
             Ok(0) => Err(io::ErrorKind::WriteZero.into()),
             Ok(n) => {
                 self.consume(n);
-                Ok(Moved::Some(n))
+                Ok(Transfer::Bytes(n))
             }
-            Err(e) => blocked(e),
+            Err(e) => map_would_block(e),
         }
     }
 
@@ -132,14 +133,14 @@
             return;
         }
         self.bytes();
-        let mut larger = vec![0; needed.next_power_of_two().clamp(SMALL, LARGEST)];
+        let mut larger = vec![0; needed.next_power_of_two().clamp(INITIAL_RING_SIZE, MAX_RING_SIZE)];
         larger[..self.len].copy_from_slice(&self.buf[self.head..self.head + self.len]);
         self.held.set(larger.len());
         (self.buf, self.head) = (larger, 0);
     }
 
-    /// The free room, in the order in which it is filled.
-    fn spare(&mut self) -> (&mut [u8], &mut [u8]) {
+    /// The free space as two slices, in the order in which they are filled.
+    fn free_space(&mut self) -> (&mut [u8], &mut [u8]) {
         let (size, end) = (self.buf.len(), self.head + self.len);
         if end >= size {
             (&mut self.buf[end - size..self.head], &mut [])
@@ -150,27 +151,27 @@
     }
 }
 
-/// Makes a call again for as long as signals interrupt it, and some times where the system lacks memory for it. Sockets are
-/// polled edge-triggered: only one that would block is told of again, so that whoever stops at any other end of a call is never
-/// woken.
-pub fn made_again<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let mut wants = 0;
+/// Retries a system call while signals interrupt it, and up to [`MAX_MEMORY_RETRIES`] times if the system lacks
+/// memory for it. The poll is edge-triggered and reports a socket again only after a call that would block,
+/// so whoever stops after another error is never woken.
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let mut memory_retries = 0;
     loop {
         match call() {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) if is_want_of_memory(&e) && wants < MOST_WANTS => wants += 1,
+            Err(e) if is_out_of_memory(&e) && memory_retries < MAX_MEMORY_RETRIES => memory_retries += 1,
             done => return done,
         }
     }
 }
 
-fn is_want_of_memory(e: &io::Error) -> bool {
+fn is_out_of_memory(e: &io::Error) -> bool {
     matches!(Errno::from_io_error(e), Some(Errno::NOMEM | Errno::NOBUFS))
 }
 
-fn blocked(e: io::Error) -> io::Result<Moved> {
+fn map_would_block(e: io::Error) -> io::Result<Transfer> {
     match e.kind() {
-        io::ErrorKind::WouldBlock => Ok(Moved::Nothing),
+        io::ErrorKind::WouldBlock => Ok(Transfer::Blocked),
         _ => Err(e),
     }
 }
--- a/crates/gradeshunt/src/ring/tests.rs
+++ b/crates/gradeshunt/src/ring/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the part named by the folder.
+//! Tests of the ring buffer.
 
 use super::*;
 use crate::memory;
 
-/// Guards the wrap: what goes in comes out in order, whatever the head's place.
+/// Bytes come out in the order in which they went in, also when they wrap around the end of the buffer.
 #[test]
-fn keeps_order_over_the_wrap() {
+fn order_is_kept_across_the_wrap() {
     let (mut ring, mut next_in, mut next_out) = (Ring::default(), 0u8, 0u8);
     for step in 1..2000usize {
         let bytes: Vec<u8> = (0..step % 97).map(|i| next_in.wrapping_add(i as u8)).collect();
@@ -20,16 +20,16 @@
     }
 }
 
-/// Guards the memory limit: no ring outgrows its bound, and an empty one gives its memory back.
+/// A ring never exceeds its maximum size, and an empty one frees its memory.
 #[test]
-fn is_bounded_and_shrinks() {
+fn ring_is_bounded_and_shrinks() {
     let mut ring = Ring::default();
-    assert!(ring.push(&vec![1; LARGEST]));
+    assert!(ring.push(&vec![1; MAX_RING_SIZE]));
     assert!(ring.is_full() && !ring.push(&[1]));
-    assert_eq!(memory::held(), LARGEST);
-    ring.consume(LARGEST);
-    assert_eq!((ring.buf.len(), memory::held()), (0, 0));
+    assert_eq!(memory::total_buffered(), MAX_RING_SIZE);
+    ring.consume(MAX_RING_SIZE);
+    assert_eq!((ring.buf.len(), memory::total_buffered()), (0, 0));
     assert!(ring.push(&[1]));
     drop(ring);
-    assert_eq!(memory::held(), 0);
+    assert_eq!(memory::total_buffered(), 0);
 }
--- a/crates/gradeshunt/src/routing/rules.rs
+++ b/crates/gradeshunt/src/routing/rules.rs
@@ -1,22 +1,25 @@
-//! The operators' file, in protobuf's text format. Its schema is `proto/rules.proto`, compiled when the program reads a file.
+//! The operators' rules file, in protobuf's text format. The schema `proto/rules.proto` is compiled when the
+//! program reads a file.
 
 use std::path::Path;
 
 use gradeshunt_classing::{Access, Declared};
 use gradeshunt_textproto::{Message, Schema};
-use leadmast::settings::Facts;
+use leadmast::settings::ParsedSettings;
 use leadmast::{Effect, GroupId, Micros};
 
-use super::{writes, Match, Route, Rules};
+use super::{is_write_class, Match, Route, Rules};
 
 const SCHEMA: &str = include_str!("../../proto/rules.proto");
-const SHAPES_KB: u64 = 4096;
+/// Default size of the shape cache.
+const DEFAULT_SHAPES_KB: u64 = 4096;
 
-/// What a file says of statements and the names of their classes, without the settings that the classes stand in.
+/// Reads the declared functions and the conditions and class name of each route from a file, without the
+/// settings that define the classes.
 ///
 /// # Errors
-/// As of [`parse`], but of nothing that only the settings tell.
-pub fn outline(path: &Path) -> Result<(Declared, Vec<(Match, String)>), String> {
+/// As for [`parse`], except for errors that need the settings to be found.
+pub fn read_outline(path: &Path) -> Result<(Declared, Vec<(Match, String)>), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     let message = read(&text).map_err(|e| format!("{}:{e}", path.display()))?;
     let routes = message.list("route").into_iter().map(|r| {
@@ -39,28 +42,34 @@
     })
 }
 
-/// Reads the text of a file.
+/// Parses the text of a rules file and checks it against the settings.
 ///
 /// # Errors
-/// What is wrong with it, in one line, with its place.
-pub fn parse(text: &str, facts: &Facts) -> Result<Rules, String> {
+/// The first error as a single line of text, preceded by its line number if it is one of syntax.
+pub fn parse(text: &str, facts: &ParsedSettings) -> Result<Rules, String> {
     let message = read(text)?;
     let routes = message.list("route").iter().map(|r| route(r, facts)).collect::<Result<Vec<_>, _>>()?;
     if routes.is_empty() {
         return Err(" no route is given".to_owned());
     }
-    if !routes.iter().any(|r| writes(&facts.settings, r.class)) {
-        return Err(" no route takes what may write: one needs a class for writes".to_owned());
+    if !routes.iter().any(|r| is_write_class(&facts.settings, r.class)) {
+        return Err(
+            " no route accepts statements that may write: at least one needs a class for writes".to_owned()
+        );
     }
     let declared = declared(&message);
     let kb = match message.number("shapes_kb") {
-        0 => SHAPES_KB,
+        0 => DEFAULT_SHAPES_KB,
         kb => kb,
     };
-    Ok(Rules { routes, declared, shapes: usize::try_from(kb).unwrap_or(usize::MAX).saturating_mul(1024) })
+    Ok(Rules {
+        routes,
+        declared,
+        shape_cache_bytes: usize::try_from(kb).unwrap_or(usize::MAX).saturating_mul(1024),
+    })
 }
 
-fn route(route: &Message, facts: &Facts) -> Result<Route, String> {
+fn route(route: &Message, facts: &ParsedSettings) -> Result<Route, String> {
     let name = route.text("name");
     let class = route.text("class");
     let classes = &facts.names;
@@ -68,11 +77,12 @@
     let class = classes
         .class(&class)
         .ok_or_else(|| format!(" route {name:?}: unknown class {class:?}, expected one of {}", known()))?;
-    // A key would tell a repeat from a second request; plain statements have none.
-    if writes(&facts.settings, class) && facts.settings.classes[class.0].effect != Effect::Unsafe {
+    // Without an idempotency key, which plain statements lack, a db host can't tell a repeat from a second
+    // request.
+    if is_write_class(&facts.settings, class) && facts.settings.classes[class.0].effect != Effect::Unsafe {
         let class = &classes.classes[class.0];
         return Err(format!(
-            " route {name:?}: class {class:?} is repeated by keys, which plain statements don't have; take one whose repeat is \"side_effect\""
+            " route {name:?}: class {class:?} needs idempotency keys, which plain statements don't have; use a class whose repeat is \"side_effect\""
         ));
     }
     let cluster = route.number("cluster");
--- a/crates/gradeshunt/src/shared/worker.rs
+++ b/crates/gradeshunt/src/shared/worker.rs
@@ -13,14 +13,14 @@
 use crate::config::Config;
 use crate::transient::is_transient;
 
-/// Tasks that may wait: more than [`super::Shared`] ever asks for at a time.
-const TASKS: usize = 32;
-/// Pause between two tries to open the files.
+/// Capacity of the task queue: more than [`super::Shared`] ever has under way at a time.
+const QUEUE_LENGTH: usize = 32;
+/// Pause between two attempts to open the files.
 const OPEN_PAUSE: Duration = Duration::from_millis(100);
 
-/// Wakes the loop. That may fail without a word, as where the system takes no write.
+/// Wakes the event loop. This may fail silently, for instance when the write to the eventfd fails.
 pub trait Wake: Send {
-    /// The loop is to turn soon.
+    /// Makes the loop run another turn soon.
     fn wake(&self);
 }
 
@@ -37,50 +37,51 @@
 }
 
 impl Worker {
-    /// Starts the thread. It opens the files there, and tries again for as long as what keeps it from that may pass; it rereads the
-    /// configuration from `config`, and wakes the loop for all that is done.
+    /// Starts the thread. It opens the files, trying again for as long as the error is transient; it rereads
+    /// the configuration from `config`, and wakes the loop after each completed task.
     pub fn start(
         mut open: impl FnMut() -> io::Result<Box<dyn Files>> + Send + 'static,
         config: Option<PathBuf>,
         waker: impl Wake + 'static,
     ) -> std::io::Result<Worker> {
-        let (tasks, to_do) = sync_channel::<Task>(TASKS);
-        let (tell, done) = sync_channel(TASKS + 1);
+        let (tasks, queue) = sync_channel::<Task>(QUEUE_LENGTH);
+        let (results, done) = sync_channel(QUEUE_LENGTH + 1);
         let work = move || {
-            let tell = |done| {
-                let told = tell.send(done).is_ok();
+            let send = |done| {
+                let sent = results.send(done).is_ok();
                 waker.wake();
-                told
+                sent
             };
             let mut files = loop {
                 match open() {
                     Ok(files) => break files,
                     Err(e) => {
                         let failure = OpenFailure { is_transient: is_transient(&e), why: e.to_string() };
-                        let goes_on = failure.is_transient;
-                        if !tell(Done::Opened(Err(failure))) || !goes_on {
+                        let retries = failure.is_transient;
+                        if !send(Done::Opened(Err(failure))) || !retries {
                             return;
                         }
                         thread::sleep(OPEN_PAUSE);
                     }
                 }
             };
-            let mut told = tell(Done::Opened(Ok(())));
-            while let (true, Ok(task)) = (told, to_do.recv()) {
-                told = tell(carry_out(&mut *files, config.as_deref(), task));
+            let mut sent = send(Done::Opened(Ok(())));
+            while let (true, Ok(task)) = (sent, queue.recv()) {
+                sent = send(carry_out(&mut *files, config.as_deref(), task));
             }
         };
         thread::Builder::new().name("files".to_owned()).spawn(work)?;
         Ok(Worker { tasks, done })
     }
 
-    /// Never waits; false where the queue is full, and the task is lost.
+    /// Queues a task without blocking. Returns false, and drops the task, if the queue is full or the thread
+    /// has ended.
     #[must_use]
-    pub fn ask(&self, task: Task) -> bool {
+    pub fn submit(&self, task: Task) -> bool {
         self.tasks.try_send(task).is_ok()
     }
 
-    /// What is done, one after the other.
+    /// Returns the next completed task, if there is one.
     pub fn done(&self) -> Option<Done> {
         self.done.try_recv().ok()
     }
@@ -88,11 +89,11 @@
 
 fn carry_out(files: &mut dyn Files, config: Option<&Path>, task: Task) -> Done {
     match task {
-        Task::Look => Done::Looked(files.look().map_err(|e| e.to_string())),
-        Task::Tell(duty) => Done::Told(files.tell(duty).map_err(|e| e.to_string())),
+        Task::Scan => Done::Scanned(files.scan().map_err(|e| e.to_string())),
+        Task::Publish(duty) => Done::Published(files.publish(duty).map_err(|e| e.to_string())),
         Task::HoldOut { caller, id, out } => {
-            let kept = files.hold_out(&id, out).map_err(|e| e.to_string());
-            Done::HeldOut { caller, id, out, kept }
+            let stored = files.hold_out(&id, out).map_err(|e| e.to_string());
+            Done::HeldOut { caller, id, out, stored }
         }
         Task::Reread => Done::Reread(Config::load(config).map(Box::new)),
     }
