--- a/crates/gradeshunt/src/backend/connection.rs
+++ b/crates/gradeshunt/src/backend/connection.rs
@@ -204,7 +204,8 @@
     fn make_idle(&mut self, turn: &mut Turn, id: ServerId) -> Option<(MemberId, Stage)> {
         let s = self.connections.get_mut(&id)?;
         let member = s.member;
-        let until = turn.now + (self.connection_settings.idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
+        let until =
+            turn.now + (self.connection_settings.idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         let former = std::mem::replace(&mut s.stage, Stage::Idle { since: turn.now, until });
         turn.deadlines.set(until, DeadlineKind::Server(id));
         let host = self.hosts.get_mut(&member)?;
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -235,7 +235,8 @@
             exchange.set_held_out(turn, l.member, true);
             self.backend.set_held_out(turn, exchange, l.member, true);
         }
-        let at_lost_site = |l: &&backend::ListedHost| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
+        let at_lost_site =
+            |l: &&backend::ListedHost| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
         for member in list.listed.iter().filter(at_lost_site).map(|l| l.member).collect::<Vec<_>>() {
             exchange.set_held_out(turn, member, true);
         }
