--- a/crates/gradeshunt/src/backend/ending.rs
+++ b/crates/gradeshunt/src/backend/ending.rs
@@ -42,14 +42,14 @@
 impl Backend {
     /// Gives up an attempt that was taken from its connection. Where another attempt may follow, it ends once
     /// the db host has closed the connection; else, or if the db host takes too long, with a reset.
-    pub(super) fn end_with_connection(
+    pub(super) fn abandon_with_connection(
         &mut self,
         turn: &mut Turn,
         exchange: &mut Exchange,
         id: ServerId,
         given_up: AbandonedAttempt,
     ) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+        let Some(s) = self.connections.get_mut(&id) else { return };
         let by = turn.now + HOST_END_TIMEOUT;
         let may_be_followed = match &given_up.job {
             Job::Attempt { id, .. } => exchange.may_be_followed(*id, by),
@@ -63,14 +63,14 @@
             // again.
             turn.unfinished.push(EventSource::Server(id));
         } else {
-            self.finish_ending(turn, exchange, id);
+            self.finish_abandoned(turn, exchange, id);
         }
     }
 
     /// The db host has closed the connection of an attempt that was given up, or has not done so in time:
     /// resets the connection and ends the attempt.
-    pub(super) fn finish_ending(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+    pub(super) fn finish_abandoned(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
+        let Some(s) = self.connections.get_mut(&id) else { return };
         let member = s.member;
         let (given_up, by) = match std::mem::replace(&mut s.stage, Stage::Resetting) {
             Stage::AwaitsClose { given_up, by } => (given_up, by),
--- a/crates/gradeshunt/src/backend/hosts.rs
+++ b/crates/gradeshunt/src/backend/hosts.rs
@@ -26,7 +26,7 @@
 }
 
 pub(super) struct Host {
-    pub(super) addr: SocketAddr,
+    pub(super) address: SocketAddr,
     standing: Standing,
     /// The time since which discovery has listed it as draining, or has not listed it any more.
     pub(super) closed_since: Option<Micros>,
@@ -34,9 +34,9 @@
     pub(super) held_out: bool,
     /// Idle connections, the most recently used last.
     pub(super) idle: Vec<ServerId>,
-    pub(super) starting: usize,
+    pub(super) connecting: usize,
     /// Number of all connections to it.
-    pub(super) servers: usize,
+    pub(super) connection_count: usize,
     /// When connections are retried that failed for lack of system resources.
     pub(super) retry_connect_at: Option<Micros>,
     /// Jobs that wait for a connection, oldest first.
@@ -47,7 +47,12 @@
 impl Host {
     /// Converts a position that the db host has just reported, in Unix milliseconds, to the proxy's clock;
     /// `None` if it is not plausible.
-    pub(super) fn position(&mut self, turn: &mut Turn, ms: f64, primary: Option<bool>) -> Option<Micros> {
+    pub(super) fn convert_position(
+        &mut self,
+        turn: &mut Turn,
+        ms: f64,
+        primary: Option<bool>,
+    ) -> Option<Micros> {
         let (now, own_error) = (turn.clock.now(), turn.clock.own_error());
         let position = self.positions.read(&mut turn.clock, now, ms, primary);
         if turn.clock.own_error() != own_error {
@@ -59,7 +64,7 @@
     /// The db host's position and role according to a reply.
     pub(super) fn note(&mut self, turn: &mut Turn, reply: &Reply) -> Option<Note> {
         let primary = reply.primary?;
-        let position = reply.position.and_then(|ms| self.position(turn, ms, reply.primary));
+        let position = reply.position.and_then(|ms| self.convert_position(turn, ms, reply.primary));
         Some(Note { position, primary })
     }
 
@@ -84,7 +89,7 @@
 }
 
 /// A db host as listed by discovery.
-pub struct Listed {
+pub struct ListedHost {
     /// Its name, which remains the same when its member number is reused.
     pub id: String,
     pub member: MemberId,
@@ -101,7 +106,7 @@
         turn: &mut Turn,
         exchange: &mut Exchange,
         kind: ListKind,
-        listed: &[Listed],
+        listed: &[ListedHost],
     ) {
         let mut closed = Vec::new();
         if matches!(kind, ListKind::Full | ListKind::Saved) {
@@ -153,23 +158,23 @@
     /// Sets a host's address and standing; returns whether the address has changed.
     fn update_host(&mut self, turn: &Turn, member: MemberId, addr: SocketAddr, standing: Standing) -> bool {
         let host = self.hosts.entry(member).or_insert_with(|| Host {
-            addr,
+            address: addr,
             standing,
             closed_since: None,
             held_out: false,
             idle: Vec::new(),
-            starting: 0,
-            servers: 0,
+            connecting: 0,
+            connection_count: 0,
             retry_connect_at: None,
             waiting: VecDeque::new(),
             positions: PositionReader::default(),
         });
-        let moved = host.addr != addr;
+        let moved = host.address != addr;
         if moved || host.standing != standing {
             debug!(turn.log, "db host's address or standing changed"; "addr" => addr.to_string(), "now" => ?standing,
                 "before" => ?host.standing, "member" => member.0);
         }
-        host.addr = addr;
+        host.address = addr;
         host.set_standing(turn.now, standing);
         moved
     }
@@ -223,7 +228,7 @@
     /// Removes a host that is gone and has no connections. Without this, memory would grow without bound as
     /// hosts are replaced by others under new names.
     pub(super) fn remove_if_gone(&mut self, member: MemberId) {
-        let gone = |h: &Host| h.standing == Standing::Gone && h.servers == 0;
+        let gone = |h: &Host| h.standing == Standing::Gone && h.connection_count == 0;
         if self.hosts.get(&member).is_some_and(gone) {
             self.hosts.remove(&member);
         }
--- a/crates/gradeshunt/src/backend/jobs.rs
+++ b/crates/gradeshunt/src/backend/jobs.rs
@@ -52,7 +52,7 @@
     /// Records when its last byte was passed to the kernel.
     pub(super) fn note_written(&mut self, at: Micros) {
         match self {
-            Job::Attempt { trace, .. } => trace.written = Some(at),
+            Job::Attempt { trace, .. } => trace.written_at = Some(at),
             Job::Probe { written, .. } => *written = Some(at),
         }
     }
@@ -62,7 +62,7 @@
     /// its own there.
     pub(super) fn is_written(&self) -> bool {
         match self {
-            Job::Attempt { trace, .. } => trace.written.is_some(),
+            Job::Attempt { trace, .. } => trace.written_at.is_some(),
             Job::Probe { written, .. } => written.is_some(),
         }
     }
@@ -108,13 +108,13 @@
                 self.probes.insert(member, (until, JobPlace::Waiting(member)));
             }
         }
-        if let Some(id) = self.lease(turn, member) {
+        if let Some(id) = self.take_reusable(turn, member) {
             return self.write(turn, exchange, id, job);
         }
         if let Some(host) = self.hosts.get_mut(&member) {
             host.waiting.push_back(job);
         }
-        self.open_for_waiting(turn, exchange, member);
+        self.open_for_waiting_job(turn, exchange, member);
     }
 
     /// Why a job may not begin or be written to a connection, or `None` if it may.
@@ -141,7 +141,7 @@
 
     /// Why the rest of a connection's request may not be written, or `None` if it may.
     pub(super) fn write_denial(&self, now: Micros, id: ServerId) -> Option<AttemptDenial> {
-        let s = self.servers.get(&id)?;
+        let s = self.connections.get(&id)?;
         let Stage::Busy { job, .. } = &s.stage else { return None };
         let Job::Attempt { until, write_by, .. } = job else { return None };
         if job.is_written() {
@@ -197,15 +197,15 @@
     }
 
     pub(super) fn write(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId, mut job: Job) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+        let Some(s) = self.connections.get_mut(&id) else { return };
         if matches!(s.stage, Stage::Idle { until, .. } if turn.clock.now() > until + SUSPENSION_TOLERANCE) {
             exchange.record_violation(turn, Rule::ExpiredConnection, None);
         }
-        let mut sending = WriteProgress::default();
+        let mut write_progress = WriteProgress::default();
         let begin = s.begin_request();
         let pushed = match &mut job {
             Job::Attempt { id: attempt, body, until, write_by, trace, .. } => {
-                (trace.connection, trace.leased) = (Some(id), Some(turn.now));
+                (trace.connection, trace.assigned_at) = (Some(id), Some(turn.now));
                 if let Some(a) = self.attempts.get_mut(attempt) {
                     turn.deadlines.clear(a.0, DeadlineKind::Attempt(*attempt));
                     let due = (*until).min(*write_by);
@@ -220,7 +220,7 @@
                 // A plain statement does not tell the db host how long the client waits.
                 if body.states_wait() {
                     let wait_accurate_until = Some(now + holds_for);
-                    sending = WriteProgress {
+                    write_progress = WriteProgress {
                         stated_wait: Some(wait_ms * 1000),
                         wait_accurate_until,
                         begun: false,
@@ -245,7 +245,7 @@
             Job::Probe { .. } => AnswerForm::Value,
         };
         s.stage = Stage::Busy { job, reply: Reply { form, ..Reply::default() }, ready_by: None };
-        s.write_progress = sending;
+        s.write_progress = write_progress;
         let flushed = if pushed {
             self.flush(turn, exchange, id)
         } else {
@@ -262,7 +262,7 @@
         match self.attempts.get(&id) {
             Some((_, JobPlace::Waiting(_))) => true,
             Some((_, JobPlace::On(server))) => {
-                self.servers.get(server).is_some_and(HostConnection::has_unsent_job)
+                self.connections.get(server).is_some_and(HostConnection::has_unsent_job)
             }
             None => false,
         }
@@ -272,7 +272,7 @@
     /// outlast the window for writing it and the wait time that its statement states.
     pub(super) fn awaited_until(&self, now: Micros, id: AttemptId) -> Option<Micros> {
         let (_, JobPlace::On(server)) = self.attempts.get(&id)? else { return None };
-        let Stage::Busy { job: Job::Attempt { until, .. }, .. } = &self.servers.get(server)?.stage else {
+        let Stage::Busy { job: Job::Attempt { until, .. }, .. } = &self.connections.get(server)?.stage else {
             return None;
         };
         (now < *until && !self.is_unsent(id)).then_some(*until)
@@ -302,12 +302,12 @@
         exchange: &mut Exchange,
         place: JobPlace,
         ending: Ending,
-        is_it: impl Fn(&Job) -> bool,
+        is_match: impl Fn(&Job) -> bool,
     ) {
         match place {
             JobPlace::Waiting(member) => {
                 let Some(host) = self.hosts.get_mut(&member) else { return };
-                let Some(at) = host.waiting.iter().position(is_it) else { return };
+                let Some(at) = host.waiting.iter().position(is_match) else { return };
                 let Some(job) = host.waiting.remove(at) else { return };
                 // Its connection keeps connecting, for the next job. Nothing of an attempt was sent.
                 let ending = match job {
@@ -323,13 +323,18 @@
             JobPlace::On(id) => {
                 let Some((member, job, reply)) = self.take_job(id) else { return };
                 // A complete answer counts even though ReadyForQuery is missing.
-                let ends = reply.ending().unwrap_or(job.ending_without_answer(ending, Ending::Moot));
+                let job_ending = reply.ending().unwrap_or(job.ending_without_answer(ending, Ending::Moot));
                 // Nobody waits for a cancelled attempt, and no other attempt follows it.
                 if ending == Ending::Cancelled {
                     self.close(turn, id);
-                    return self.end_job(turn, exchange, member, job, ends, reply);
+                    return self.end_job(turn, exchange, member, job, job_ending, reply);
                 }
-                self.end_with_connection(turn, exchange, id, AbandonedAttempt { job, ending: ends, reply });
+                self.abandon_with_connection(
+                    turn,
+                    exchange,
+                    id,
+                    AbandonedAttempt { job, ending: job_ending, reply },
+                );
             }
         }
     }
@@ -352,7 +357,7 @@
                 debug!(turn.log, "attempt ended"; "request" => id.request.0, "number" => id.number,
                     "member" => member.0, "ending" => ending_name(ending));
                 let note = self.hosts.get_mut(&member).and_then(|host| host.note(turn, &reply));
-                let said = match ending {
+                let host_reply = match ending {
                     Ending::Ok => HostReply::Answer(reply.bytes),
                     Ending::Error if reply.error.as_deref().is_some_and(sqlstate::is_statement_error) => {
                         HostReply::StatementError(reply.bytes)
@@ -360,7 +365,7 @@
                     Ending::Error
                         if is_peer(member) && reply.error.as_deref() == Some(sqlstate::PROXY_LEAVING) =>
                     {
-                        HostReply::Leaving
+                        HostReply::ShuttingDown
                     }
                     Ending::Error if reply.may_be_duplicate => HostReply::PossibleDuplicate,
                     Ending::Full if reply.error.is_some() => {
@@ -374,7 +379,7 @@
                 self.report_verified_positions(turn, exchange, member);
                 exchange.attempt_ended(
                     turn,
-                    AttemptEnd { attempt: id, ending, note, reply: said, trace: *trace },
+                    AttemptEnd { attempt: id, ending, note, reply: host_reply, trace: *trace },
                 );
             }
             Job::Probe { since, .. } => {
@@ -384,7 +389,9 @@
                 let report = reply.row.filter(|_| ending == Ending::Ok);
                 let host = self.hosts.get_mut(&member);
                 let report = report.zip(host).and_then(|(row, host)| {
-                    parse_load_report(&row, &self.fields, |ms, primary| host.position(turn, ms, primary))
+                    parse_load_report(&row, &self.fields, |ms, primary| {
+                        host.convert_position(turn, ms, primary)
+                    })
                 });
                 exchange.probe_ended(turn, Probed { member, ending, elapsed: turn.now - since, report });
                 self.report_verified_positions(turn, exchange, member);
--- a/crates/gradeshunt/src/backend/reading.rs
+++ b/crates/gradeshunt/src/backend/reading.rs
@@ -25,7 +25,7 @@
 /// Bytes of a long answer that are read at a time.
 const READ_SIZE: usize = 32 * 1024;
 /// Reads from one connection per turn.
-const READS_PER_TURN: usize = 8;
+const MAX_READS_PER_TURN: usize = 8;
 
 impl HostConnection {
     /// Called when no complete message is left. Limits the wait for ReadyForQuery after a complete answer, so
@@ -47,11 +47,11 @@
         if let Err(why) = self.flush(turn, exchange, id) {
             return self.write_failed(turn, exchange, id, why);
         }
-        for _ in 0..READS_PER_TURN {
-            let Some(s) = self.servers.get_mut(&id) else { return };
+        for _ in 0..MAX_READS_PER_TURN {
+            let Some(s) = self.connections.get_mut(&id) else { return };
             if s.is_streaming() {
                 // What the frontend cannot take yet is left in the db host's connection;
-                // [`BackendCommand::Resume`](crate::exchange::BackendCommand::Resume) follows.
+                // `BackendCommand::Resume` follows.
                 if s.inbound.len() >= READ_SIZE {
                     return;
                 }
@@ -70,7 +70,7 @@
             }
             if let Some(why) = end {
                 // Reading meets the end again once the frontend has taken the data before it.
-                if self.servers.get(&id).is_some_and(|s| s.is_streaming() && !s.inbound.is_empty()) {
+                if self.connections.get(&id).is_some_and(|s| s.is_streaming() && !s.inbound.is_empty()) {
                     return;
                 }
                 return self.connection_failed(turn, exchange, id, &why);
@@ -90,7 +90,7 @@
             if self.pass_on_part(turn, exchange, id) {
                 continue;
             }
-            let Some(s) = self.servers.get_mut(&id) else { return Ok(()) };
+            let Some(s) = self.connections.get_mut(&id) else { return Ok(()) };
             if matches!(s.stage, Stage::AwaitsClose { .. }) {
                 // What arrives for an abandoned attempt is dropped.
                 s.inbound.consume(s.inbound.len());
@@ -126,10 +126,10 @@
                 return Ok(());
             };
             let (tag, size) = (message.tag, message.size);
-            let marked = handle_marker_message(&mut s.marker, &mut s.stage, &message)?;
-            if marked != MarkerStep::NotForMarker {
+            let step = handle_marker_message(&mut s.marker, &mut s.stage, &message)?;
+            if step != MarkerStep::NotForMarker {
                 s.inbound.consume(size);
-                match marked {
+                match step {
                     MarkerStep::AnswerChecked(found) => {
                         exchange.record_answer_check(turn, s.member, found);
                         self.connection_ready(turn, exchange, id);
@@ -141,7 +141,7 @@
                 }
                 continue;
             }
-            let up = match &mut s.stage {
+            let is_ready = match &mut s.stage {
                 Stage::Starting { .. } => match tag {
                     b'R' if message.body != [0; 4] => {
                         return Err(Malformed("the db host requires password authentication"))
@@ -166,9 +166,9 @@
                 Stage::Busy { reply, .. } => reply.handle_message(&message)?,
             };
             s.inbound.consume(size);
-            if up && s.must_hold_answer() {
+            if is_ready && s.must_hold_answer() {
                 self.hold_for_marker(turn, exchange, id);
-            } else if up {
+            } else if is_ready {
                 self.connection_ready(turn, exchange, id);
             }
         }
@@ -177,7 +177,7 @@
     /// Passes on what has arrived of a long answer, as far as the frontend can take it. Returns whether some
     /// was passed on.
     fn pass_on_part(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) -> bool {
-        let Some(s) = self.servers.get_mut(&id) else { return false };
+        let Some(s) = self.connections.get_mut(&id) else { return false };
         let host = self.hosts.get_mut(&s.member);
         let Stage::Busy { job: Job::Attempt { id: attempt, .. }, reply, .. } = &mut s.stage else {
             return false;
@@ -227,7 +227,7 @@
         let Some((member, mut job, reply)) = self.take_job(id) else { return };
         // A duplicate is not this attempt's reply, and does not make the db host unhealthy.
         let ending = reply.ending().unwrap_or(Ending::Error);
-        match self.servers.get_mut(&id) {
+        match self.connections.get_mut(&id) {
             Some(s) if ending == Ending::Ok && !s.has_more_to_send() => {
                 job.set_connection_end(ConnectionEnd::AwaitsReady);
                 let by = turn.now + READY_TIMEOUT;
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -8,7 +8,7 @@
 use leadmast::{ListKind, Micros, RequestId};
 use slog::{warn, Logger};
 
-use crate::backend::Listed;
+use crate::backend::ListedHost;
 use crate::config::Config;
 use crate::deadlines::DeadlineKind;
 use crate::discovery::{self, Discovery, ListUpdate};
@@ -42,7 +42,7 @@
 /// A list of db hosts, or a change to it, that the decision module has processed.
 pub struct List {
     pub(crate) kind: ListKind,
-    pub(crate) listed: Vec<Listed>,
+    pub(crate) listed: Vec<ListedHost>,
 }
 
 impl List {
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -12,7 +12,7 @@
 use serde_json::value::RawValue;
 use serde_json::Value;
 
-use crate::backend::Listed;
+use crate::backend::ListedHost;
 use crate::clock::Clock;
 use crate::unix_time::STEP_TOLERANCE;
 
@@ -25,7 +25,7 @@
 pub struct ListUpdate {
     pub kind: ListKind,
     pub entries: Vec<Entry>,
-    pub listed: Vec<Listed>,
+    pub listed: Vec<ListedHost>,
     /// How many entries were skipped, and what is wrong with the first few.
     pub unreadable: usize,
     pub why: Vec<String>,
@@ -126,7 +126,7 @@
                 serde_json::from_str(raw.get()).map_err(|e| format!("an instance that is not JSON: {e}"));
             match entry.and_then(|v| self.read_entry(clock, &v)) {
                 Ok((id, entry, addr)) => {
-                    update.listed.push(Listed { id, member: entry.member, addr, phase: entry.phase });
+                    update.listed.push(ListedHost { id, member: entry.member, addr, phase: entry.phase });
                     update.entries.push(entry);
                 }
                 Err(what) => {
--- a/crates/gradeshunt/src/exchange/audit.rs
+++ b/crates/gradeshunt/src/exchange/audit.rs
@@ -23,11 +23,11 @@
         let at = turn.clock.now();
         let Some(r) = self.requests.get_mut(&attempt.request) else { return };
         // The client left before anything was written, so this attempt should not have been written.
-        if r.client_left_at.is_some() && !r.written {
+        if r.client_left_at.is_some() && !r.any_attempt_written {
             self.summary_counts.sent_after_gone += 1;
             self.figures.sent_after_gone += 1;
         }
-        r.written = true;
+        r.any_attempt_written = true;
         // Forwarding to another proxy is not an attempt: that proxy checks the rules for the attempts that it
         // makes.
         if attempt.is_forward() {
@@ -56,10 +56,10 @@
         self.log_earlier_attempts(turn, attempt, at);
     }
 
-    /// Called when the first byte of an attempt has been written. `told` is the time at which the db host was
-    /// reported to accept no new requests, if it was.
-    pub fn first_byte_written(&mut self, turn: &Turn, attempt: AttemptId, told: Option<Micros>) {
-        if violates_drain(turn.clock.now(), told, self.drain_grace) {
+    /// Called when the first byte of an attempt has been written. `closed_since` is the time at which the db
+    /// host was reported to accept no new requests, if it was.
+    pub fn first_byte_written(&mut self, turn: &Turn, attempt: AttemptId, closed_since: Option<Micros>) {
+        if violates_drain(turn.clock.now(), closed_since, self.drain_grace) {
             self.record_violation(turn, Rule::Drain, Some(attempt));
         }
     }
@@ -124,7 +124,7 @@
             let trace = &earlier.trace;
             debug!(turn.log, "repeat written"; "at" => at, "earlier_ended" => earlier.ended_at,
                 "earlier_ending" => ending_name(earlier.ending), "earlier_connection_end" => ?trace.connection_end,
-                "earlier_written" => trace.written, "earlier_leased" => trace.leased,
+                "earlier_written" => trace.written_at, "earlier_leased" => trace.assigned_at,
                 "earlier_connection" => trace.connection.map(|c| c.0), "earlier_begun" => earlier.begun_at,
                 "earlier" => earlier.number, "number" => attempt.number, "request" => attempt.request.0);
         }
--- a/crates/gradeshunt/src/exchange/server_side.rs
+++ b/crates/gradeshunt/src/exchange/server_side.rs
@@ -14,8 +14,8 @@
 use crate::turn::Turn;
 
 impl Exchange {
-    /// The number of bytes of a long answer that the frontend can take. After 0, [`BackendCommand::Resume`] follows
-    /// once there is room.
+    /// The number of bytes of a long answer that the frontend can take. After 0,
+    /// [`Resume`](super::messages::BackendCommand::Resume) follows once there is room.
     pub fn answer_room(&mut self, attempt: AttemptId) -> usize {
         let Some(r) = self.requests.get_mut(&attempt.request).filter(|r| !r.is_over) else { return 0 };
         r.awaits_room = r.room == 0;
@@ -36,7 +36,7 @@
         let Some(active) = r.active_attempt.as_ref().filter(|o| o.number == attempt.number) else { return };
         let (member, elapsed) = (active.member, turn.now - active.begun_at);
         r.room = r.room.saturating_sub(bytes.len());
-        r.queued += bytes.len();
+        r.queued_bytes += bytes.len();
         self.answers.push_back((id, Answer::Part(bytes)));
         if !std::mem::replace(&mut r.answer_begun, true) {
             turn.deadlines.clear(r.deadline + self.answer_slack, DeadlineKind::Overdue(id));
@@ -80,7 +80,7 @@
         let (over, begun) = (r.is_over, r.answer_begun);
         let answer = match host_reply {
             HostReply::Answer(bytes) => Some((FinalAnswer::Served(bytes), None)),
-            _ if begun => Some((FinalAnswer::Interrupted, Some(FinalReason::ValueCut))),
+            _ if begun => Some((FinalAnswer::Interrupted, Some(FinalReason::AnswerInterrupted))),
             HostReply::StatementError(bytes) => {
                 Some((FinalAnswer::Failed(Some(bytes)), Some(FinalReason::Statement)))
             }
@@ -91,7 +91,7 @@
                 r.last_error = Some(bytes);
                 None
             }
-            HostReply::Nothing | HostReply::Refused { .. } | HostReply::Leaving => None,
+            HostReply::Nothing | HostReply::Refused { .. } | HostReply::ShuttingDown => None,
         };
         let last = over || answer.is_some();
         let interrupted = matches!(answer, Some((FinalAnswer::Interrupted, _)));
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -235,7 +235,8 @@
             exchange.set_held_out(turn, l.member, true);
             self.backend.set_held_out(turn, exchange, l.member, true);
         }
-        let at_lost_site = |l: &&backend::Listed| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
+        let at_lost_site =
+            |l: &&backend::ListedHost| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
         for member in list.listed.iter().filter(at_lost_site).map(|l| l.member).collect::<Vec<_>>() {
             exchange.set_held_out(turn, member, true);
         }
@@ -291,7 +292,7 @@
             DeadlineKind::Attempt(id) => self.backend.attempt_due(turn, exchange, id),
             DeadlineKind::Probe(member) => self.backend.probe_due(turn, exchange, member),
             DeadlineKind::RetryConnect(member) => self.backend.connect_due(turn, exchange, member),
-            DeadlineKind::Server(id) => self.backend.server_due(turn, exchange, id),
+            DeadlineKind::Server(id) => self.backend.connection_due(turn, exchange, id),
             DeadlineKind::Session(id) => self.frontend.session_due(turn, id),
             DeadlineKind::RetryAccept => self.frontend.accept(turn),
             DeadlineKind::RetryAcceptPeers => self.frontend.accept_peers(turn),
