--- a/crates/gradeshunt/tests/cli.rs
+++ b/crates/gradeshunt/tests/cli.rs
@@ -19,12 +19,12 @@
 fn access_and_target(output: &Output) -> Vec<(String, String)> {
     let text = String::from_utf8_lossy(&output.stdout);
     let line = |l: &str| {
-        let told: serde_json::Value = serde_json::from_str(l).expect("each line is a JSON object");
+        let statement: serde_json::Value = serde_json::from_str(l).expect("each line is a JSON object");
         let fields = ["class", "shape", "cost", "why"];
-        assert!(fields.iter().all(|f| told.get(*f).is_some()), "{l}");
+        assert!(fields.iter().all(|f| statement.get(*f).is_some()), "{l}");
         (
-            told["access"].as_str().expect("a string").to_owned(),
-            told["target"].as_str().expect("a string").to_owned(),
+            statement["access"].as_str().expect("a string").to_owned(),
+            statement["target"].as_str().expect("a string").to_owned(),
         )
     };
     text.lines().map(line).collect()
@@ -69,12 +69,12 @@
 fn check_reports_an_unusable_configuration() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json");
     let output = run(&["check", example], b"");
-    let said = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success() && said.starts_with("toy: listens at 127.0.0.1:5440"), "{said}");
+    let stdout = String::from_utf8_lossy(&output.stdout);
+    assert!(output.status.success() && stdout.starts_with("toy: listens at 127.0.0.1:5440"), "{stdout}");
     let output = run(&["check", "no-such-file.json"], b"");
-    let said = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1));
-    assert!(said.starts_with("gradeshunt: cannot read no-such-file.json: "), "{said}");
+    assert!(stderr.starts_with("gradeshunt: cannot read no-such-file.json: "), "{stderr}");
     let output = run(&["run", "--config", "no-such-file.json"], b"");
     assert_eq!(output.status.code(), Some(1));
     assert_eq!(run(&["frob"], b"").status.code(), Some(2));
@@ -134,9 +134,9 @@
     for (text, why) in cases {
         std::fs::write(&sites, &text).expect("the file can be written");
         let output = run(&["check", &file.to_string_lossy()], b"");
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.success(), why.is_empty(), "{text}: {told}");
-        assert!(told.contains(why), "{why}: {told}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.success(), why.is_empty(), "{text}: {stderr}");
+        assert!(stderr.contains(why), "{why}: {stderr}");
     }
     std::fs::remove_file(&sites).expect("the sites file can be removed");
     let output = run(&["check", &file.to_string_lossy()], b"");
--- a/crates/gradeshunt/tests/crossings.rs
+++ b/crates/gradeshunt/tests/crossings.rs
@@ -203,7 +203,7 @@
     let (mut server, _) = host.accept().expect("the proxy connects");
     wire::read_startup(&mut server).expect("a startup message");
     server.write_all(&startup_reply()).expect("the connection is open");
-    assert_eq!(wire::read(&mut server).expect("a query").0, b'Q');
+    assert_eq!(wire::read(&mut server).expect("the db host gets a query").0, b'Q');
     // The db host sends 80,000 of the row's 100,000 bytes.
     let description = [&[0, 1][..], b"data\0", &[0; 6], &[0, 0, 0, 17], &[255; 6], &[0, 1]].concat();
     let size = 100_000_i32;
@@ -231,12 +231,12 @@
     config["limits"]["sockets"] = json!(64);
     let program = Program::start("crossed", config, "", |_| {});
     let startup_and_query = [wire::startup(&[("user", "portal")]), wire::query("")].concat();
-    let rest = |_| {
+    let connect_idle = |_| {
         let mut client = program.connect();
         client.write_all(&startup_and_query).expect("the connection is open");
         client
     };
-    let mut clients: Vec<_> = (0..16).map(rest).collect();
+    let mut clients: Vec<_> = (0..16).map(connect_idle).collect();
     // The client that has been idle longest is closed first; its answers are still unread.
     let client = &mut clients[0];
     assert!(read_until_ready(client, 2).expect("the client is answered").ends_with("IZ"));
@@ -260,7 +260,7 @@
     while bytes.len() < 263_000 {
         bytes.extend(read_query(bytes.len()));
     }
-    leaving_client.write_all(&bytes).expect("the kernel takes it");
+    leaving_client.write_all(&bytes).expect("the kernel accepts all bytes");
     let (mut first, _) = host.accept().expect("the proxy connects");
     wire::read_startup(&mut first).expect("a startup message");
     // The program has noticed that the client left once it has closed its side.
@@ -272,7 +272,7 @@
     let mut client =
         Client::connect(program.addr(), &[("user", "portal")], WAIT_TIMEOUT).expect("the session starts");
     client.stream().write_all(&read_query(7)).expect("the connection is open");
-    let (tag, body) = wire::read(&mut first).expect("a query");
+    let (tag, body) = wire::read(&mut first).expect("the db host gets a query");
     assert!(
         tag == b'Q' && String::from_utf8_lossy(&body).contains("id=7,"),
         "{}",
@@ -283,7 +283,7 @@
 /// Reads the next client's statement that reaches a db host, and answers the proxy's own queries before it.
 fn next_statement(server: &mut TcpStream) -> String {
     loop {
-        let (tag, body) = wire::read(server).expect("a query");
+        let (tag, body) = wire::read(server).expect("the db host gets a query");
         let text = String::from_utf8_lossy(&body).into_owned();
         if tag == b'Q' && text.contains("id=") {
             return text;
@@ -359,7 +359,7 @@
     let mut next =
         Client::connect(program.addr(), &[("user", "portal")], WAIT_TIMEOUT).expect("the session starts");
     next.stream().write_all(&read_query(7)).expect("the connection is open");
-    let (tag, body) = wire::read(&mut server).expect("a query");
+    let (tag, body) = wire::read(&mut server).expect("the db host gets a query");
     let body = String::from_utf8_lossy(&body);
     assert!(tag == b'Q' && body.contains("id=7,"), "{body}");
 }
--- a/crates/gradeshunt/tests/placement.rs
+++ b/crates/gradeshunt/tests/placement.rs
@@ -231,8 +231,11 @@
             client.ask(&read_statement(id + 1, group.set)).expect("the connection is open");
         }
     }
-    let shown = program.get_control("/placement");
-    assert!(shown.contains("requests home=0 sent_on=3 taken=0 direct=0 refused=0"), "{shown}");
+    let placement_page = program.get_control("/placement");
+    assert!(
+        placement_page.contains("requests home=0 sent_on=3 taken=0 direct=0 refused=0"),
+        "{placement_page}"
+    );
     assert!(program.get_control("/status/metrics").contains("app_dispatches 0\n"));
 }
 
--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -186,7 +186,7 @@
 fn cold_member_gets_its_share_of_the_warm_load_over_the_whole_fleet() {
     // Guards against a smallest window per driver that is harmless for one driver and, multiplied by the
     // number of drivers, overloads a cold member.
-    let taken = |seed| {
+    let reads_at_cold_member = |seed| {
         let mut s = settings(vec![ANY]);
         s.fleet = 250;
         let mut d = Driver::seeded(s, seed);
@@ -205,7 +205,7 @@
         }
         (cold, d.sends_to(REPLICA))
     };
-    let all: Vec<_> = (0..100).map(taken).collect();
+    let all: Vec<_> = (0..100).map(reads_at_cold_member).collect();
     // In the cold member's first 1.5 s the 100 drivers together send 1,500 reads, half of them to each of two
     // warm members. The cold one may get a fifth to a third of such a half, times 2.5, before it is
     // overloaded.
@@ -218,7 +218,7 @@
 fn recently_started_driver_gives_a_cold_member_as_much_as_an_old_one() {
     // Guards against load averages that count the time before the driver's own start as idle: after an
     // upgrade cold members would get next to nothing for many seconds.
-    let taken = |age: u64| {
+    let reads_at_cold_member = |age: u64| {
         let mut d = Driver::new(settings(vec![ANY]));
         d.members(&[PRIMARY, THIRD], PRIMARY);
         let (mut cold, mut out) = (0, Vec::new());
@@ -237,8 +237,8 @@
         }
         cold
     };
-    let (young, old) = (taken(1), taken(40));
-    assert!(old > 0 && young * 10 >= old * 7, "young {young}, old {old}");
+    let (recent, old) = (reads_at_cold_member(1), reads_at_cold_member(40));
+    assert!(old > 0 && recent * 10 >= old * 7, "recently started {recent}, old {old}");
 }
 
 #[test]
@@ -502,7 +502,7 @@
 fn error_of_a_primary_with_spare_capacity_is_repeated_beyond_the_budget() {
     // Guards against writes that fail although the primary, which often answers with errors, has capacity to
     // spare: no other member can take them.
-    let failed = |takes: Micros| {
+    let failed_writes = |answer_time: Micros| {
         let mut d = Driver::new(settings(vec![WRITE]));
         d.members(&[PRIMARY, REPLICA], PRIMARY);
         for id in 0..40 {
@@ -511,15 +511,19 @@
             // Three in four attempts end in an error.
             for n in 0..3 {
                 let Some((at, sent)) = d.unanswered().into_iter().find(|(at, _)| at.0 == id) else { break };
-                d.run_to(sent + takes);
+                d.run_to(sent + answer_time);
                 let note = Some(Note { position: Some(d.now()), primary: true });
-                d.end_after(at, if n < 2 { Ending::Error } else { Ending::Ok }, note, n == 2, takes);
+                d.end_after(at, if n < 2 { Ending::Error } else { Ending::Ok }, note, n == 2, answer_time);
             }
         }
         (0..40).map(|id| d.final_answers(id)).sum::<usize>()
     };
-    assert!(failed(10_000) == 0, "{} of 40 failed", failed(10_000));
-    assert!(failed(90_000) > 20, "an overloaded primary gets no extra attempts: {} failed", failed(90_000));
+    assert!(failed_writes(10_000) == 0, "{} of 40 failed", failed_writes(10_000));
+    assert!(
+        failed_writes(90_000) > 20,
+        "an overloaded primary gets no extra attempts: {} failed",
+        failed_writes(90_000)
+    );
 }
 
 #[test]
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -25,8 +25,8 @@
     let mut ends: BTreeMap<(u64, u32), Micros> = BTreeMap::new();
     let mut next = [0.0; 3];
     // By request: its tenant, when it was first sent, and whether it was served in time.
-    let mut asked: BTreeMap<u64, (usize, Micros, bool)> = BTreeMap::new();
-    let mut again: BTreeMap<Micros, Vec<u64>> = BTreeMap::new();
+    let mut requests: BTreeMap<u64, (usize, Micros, bool)> = BTreeMap::new();
+    let mut retries: BTreeMap<Micros, Vec<u64>> = BTreeMap::new();
     for step in 0..2_000 {
         let now = step * 5_000;
         d.run_to(now);
@@ -34,16 +34,16 @@
         for (tenant, next) in next.iter_mut().enumerate() {
             while *next <= now as f64 {
                 *next += 1e6 / rates[tenant] / load_factors[tenant];
-                let id = asked.len() as u64;
-                asked.insert(id, (tenant, now, false));
+                let id = requests.len() as u64;
+                requests.insert(id, (tenant, now, false));
                 d.tenant = Some(TenantId(tenant));
                 d.request_in(id, 0, GROUP);
-                again.entry(now + 100_000).or_default().push(id);
+                retries.entry(now + 100_000).or_default().push(id);
             }
         }
-        let refused = again.remove(&now).into_iter().flatten().filter(|id| d.refusals(*id) > 0);
+        let refused = retries.remove(&now).into_iter().flatten().filter(|id| d.refusals(*id) > 0);
         for id in refused.collect::<Vec<_>>() {
-            d.tenant = Some(TenantId(asked[&id].0));
+            d.tenant = Some(TenantId(requests[&id].0));
             d.request_in(id + 1_000_000, 0, GROUP);
         }
         for (at, sent) in d.unanswered() {
@@ -54,7 +54,7 @@
             });
             if end <= now {
                 d.ok_after(at, Some(now), at.2 == PRIMARY, now - sent);
-                let request = asked.get_mut(&(at.0 % 1_000_000)).unwrap();
+                let request = requests.get_mut(&(at.0 % 1_000_000)).unwrap();
                 request.2 |= now - request.1 <= aim;
             }
         }
@@ -64,7 +64,7 @@
         }
     }
     [0, 1, 2].map(|tenant| {
-        let of: Vec<_> = asked.values().filter(|r| r.0 == tenant && r.1 > 2_000_000).collect();
+        let of: Vec<_> = requests.values().filter(|r| r.0 == tenant && r.1 > 2_000_000).collect();
         of.iter().filter(|r| r.2).count() as f64 / of.len() as f64
     })
 }
@@ -74,14 +74,17 @@
     // Guards against one tenant that takes the capacity of the others: without shares all requests wait in
     // one queue, and whoever sends most is served most.
     let usual = shares_served(shared_deployment(), [1.0; 3]);
-    let crowded = shares_served(shared_deployment(), [5.0, 1.0, 1.0]);
+    let overloaded = shares_served(shared_deployment(), [5.0, 1.0, 1.0]);
     assert!(usual.iter().all(|s| *s > 0.98), "{usual:?}");
-    assert!(crowded[1] > 0.95 * usual[1] && crowded[2] > 0.95 * usual[2], "{crowded:?} of {usual:?}");
-    assert!(crowded[0] > 0.15, "{crowded:?}: the first tenant gets its share and the spare capacity");
+    assert!(
+        overloaded[1] > 0.95 * usual[1] && overloaded[2] > 0.95 * usual[2],
+        "{overloaded:?} of {usual:?}"
+    );
+    assert!(overloaded[0] > 0.15, "{overloaded:?}: the first tenant gets its share and the spare capacity");
     let mut without_tenants = shared_deployment();
     without_tenants.tenants.clear();
-    let without = shares_served(without_tenants, [5.0, 1.0, 1.0]);
-    assert!(without[1] < 0.9 * usual[1], "the load has to overload the db hosts: {without:?}");
+    let without_shares = shares_served(without_tenants, [5.0, 1.0, 1.0]);
+    assert!(without_shares[1] < 0.9 * usual[1], "the load has to overload the db hosts: {without_shares:?}");
 }
 
 #[test]
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,30 +7,30 @@
 use leadmast::*;
 
 /// Runs one driver of a fleet of a hundred for twenty seconds with two writes a second. The primary answers a
-/// write after `takes(now)`. Returns the arrival times of the writes that were never sent, and the number of
-/// unanswered attempts every 10 ms.
-fn play_writes_of_one_driver(seed: u64, takes: impl Fn(Micros) -> Micros) -> (Vec<Micros>, Vec<usize>) {
+/// write after `answer_time(now)`. Returns the arrival times of the writes that were never sent, and the
+/// number of unanswered attempts every 10 ms.
+fn play_writes_of_one_driver(seed: u64, answer_time: impl Fn(Micros) -> Micros) -> (Vec<Micros>, Vec<usize>) {
     let mut s = settings(vec![WRITE]);
     s.fleet = 100;
     let mut d = Driver::seeded(s, seed);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
-    let (mut asked, mut held) = (Vec::new(), Vec::new());
+    let (mut unsent, mut unanswered) = (Vec::new(), Vec::new());
     for step in 0..2_000 {
         let now = step * 10_000;
         d.run_to(now);
         for (at, sent) in d.unanswered() {
-            if now >= sent + takes(now) {
-                d.ok_after(at, Some(now), true, takes(now));
+            if now >= sent + answer_time(now) {
+                d.ok_after(at, Some(now), true, answer_time(now));
             }
         }
         if (step + seed as i64) % 50 == 0 {
             d.request(step as u64, WRITE, Some(step as u64));
-            asked.push(now);
+            unsent.push(now);
         }
-        held.push(d.unanswered().len());
+        unanswered.push(d.unanswered().len());
     }
-    asked.retain(|at| d.sent((at / 10_000) as u64).is_empty());
-    (asked, held)
+    unsent.retain(|at| d.sent((at / 10_000) as u64).is_empty());
+    (unsent, unanswered)
 }
 
 #[test]
@@ -38,12 +38,12 @@
     // Guards against pacing attempts by a class's usual answer time: a member that takes forty times as long
     // would hold forty times the attempts that all drivers together mean to give it, and answer none of them
     // in time.
-    let held = |seed| {
-        let takes = |now| if now < 10_000_000 { 10_000 } else { 400_000 };
-        play_writes_of_one_driver(seed, takes).1[1_500..].iter().sum::<usize>() as f64 / 500.0
+    let mean_unanswered = |seed| {
+        let answer_time = |now| if now < 10_000_000 { 10_000 } else { 400_000 };
+        play_writes_of_one_driver(seed, answer_time).1[1_500..].iter().sum::<usize>() as f64 / 500.0
     };
     // Each driver gets two writes a second: 80 attempts would be unanswered on average if all were sent.
-    let all: f64 = (0..100).map(held).sum();
+    let all: f64 = (0..100).map(mean_unanswered).sum();
     assert!((1.0..25.0).contains(&all), "{all}");
 }
 
@@ -52,8 +52,8 @@
     // Guards against pacing by a load estimate that does not decay: a driver of a large fleet gets an answer
     // only every few seconds, and would avoid the primary for ten seconds after a slow one.
     let unsent = |seed| {
-        let takes = |now| if (5_000_000..10_000_000).contains(&now) { 400_000 } else { 10_000 };
-        let unsent = play_writes_of_one_driver(seed, takes).0;
+        let answer_time = |now| if (5_000_000..10_000_000).contains(&now) { 400_000 } else { 10_000 };
+        let unsent = play_writes_of_one_driver(seed, answer_time).0;
         // Counts from three seconds after the primary's recovery.
         unsent.into_iter().filter(|at| (13_000_000..19_000_000).contains(at)).count()
     };
@@ -65,10 +65,10 @@
 #[test]
 fn cold_primary_with_spare_capacity_gets_its_allowance_and_no_more() {
     // Guards both sides of the rule for cold members. With half of the allowance, the primary is idle while
-    // writes wait, because it has more than the mean member's load. With more than the allowance, the sum over
-    // all drivers may overload it.
+    // writes wait, because it has more than the mean member's load. With more than the allowance, the sum
+    // over all drivers may overload it.
     const COLD: MemberId = MemberId(3);
-    let taken = |seed: u64| {
+    let writes_at_cold_primary = |seed: u64| {
         let mut s = settings(vec![WRITE]);
         s.fleet = 100;
         let mut d = Driver::seeded(s, seed);
@@ -96,7 +96,7 @@
     };
     // Of the 3,000 writes of the new primary's first three seconds. The mean warm member has 333 a second; a
     // third of that on average, times 2.5, is 830 in three seconds.
-    let all: usize = (0..100).map(taken).sum();
+    let all: usize = (0..100).map(writes_at_cold_primary).sum();
     assert!((650..830).contains(&all), "{all}");
 }
 
@@ -216,7 +216,7 @@
 
     /// The most work that the member was sent within any `fall` of its warm-up, as a share of the work that
     /// overloads it.
-    fn worst(&self, member: &SimulatedMember) -> f64 {
+    fn peak_load(&self, member: &SimulatedMember) -> f64 {
         let of = &member.arrived;
         let within = |from: Micros| of.iter().filter(move |(at, _)| (from..from + self.fall).contains(at));
         let share = |(from, _): &(Micros, f64)| {
@@ -234,7 +234,7 @@
     driver: Driver,
     /// How many entries of the driver's log have been handled.
     handled: usize,
-    asked: u64,
+    requests: u64,
     heavy: Vec<bool>,
     attempts: std::collections::BTreeMap<u64, u32>,
     /// For each unanswered attempt: when it will be answered, when it was sent, and the attempt.
@@ -246,13 +246,13 @@
         let mut driver = Driver::seeded(settings, seed);
         driver.members(&[PRIMARY, THIRD], PRIMARY);
         let (heavy, answers) = (Vec::new(), Vec::new());
-        SimulatedProxy { driver, handled: 0, asked: 0, heavy, attempts: Default::default(), answers }
+        SimulatedProxy { driver, handled: 0, requests: 0, heavy, attempts: Default::default(), answers }
     }
 
-    fn ask(&mut self, heavy: bool) {
+    fn send_request(&mut self, heavy: bool) {
         self.heavy.push(heavy);
-        self.driver.request_in(self.asked, usize::from(heavy), GROUP);
-        self.asked += 1;
+        self.driver.request_in(self.requests, usize::from(heavy), GROUP);
+        self.requests += 1;
     }
 
     /// Hands the driver the answers that are due, and the members the attempts that it has sent since.
@@ -311,7 +311,7 @@
             instance.turn(now, &mut members, &rule);
             let many = chance as u64 + u64::from(rng.f64() < chance.fract());
             for _ in 0..many {
-                instance.ask(rng.u8(0..10) == 0);
+                instance.send_request(rng.u8(0..10) == 0);
             }
             instance.send(now, &mut members, &rule);
         }
@@ -320,7 +320,7 @@
         m.arrived.iter().filter(|(at, _)| *at > ends - WARM_MEASURING_TIME).map(|a| a.1).sum::<f64>()
     };
     let all: f64 = members.iter().map(work).sum();
-    (rule.worst(&members[REPLICA.0 as usize]), work(&members[REPLICA.0 as usize]) / all)
+    (rule.peak_load(&members[REPLICA.0 as usize]), work(&members[REPLICA.0 as usize]) / all)
 }
 
 #[test]
@@ -336,13 +336,13 @@
         for starts in [12_000_000, 2_000_000] {
             let rule = ColdRule { starts, share, cold: seconds * 1_000_000, multiple, fall };
             for (capacity, seed) in [(40.0, 0), (40.0, 1), (300.0, 2)] {
-                let (worst, warm) = play_cold_member_in_a_burst(rule, capacity, seed);
-                assert!(worst < 1.0, "{rule:?}, {capacity} a second, seed {seed}: {worst}");
+                let (peak_load, warm) = play_cold_member_in_a_burst(rule, capacity, seed);
+                assert!(peak_load < 1.0, "{rule:?}, {capacity} a second, seed {seed}: {peak_load}");
                 assert!(
                     warm > 0.2,
                     "{rule:?}, {capacity} a second, seed {seed}: {warm} of the work when warm"
                 );
-                highest = highest.max(worst);
+                highest = highest.max(peak_load);
             }
         }
     }
--- a/tests/wirehost.rs
+++ b/tests/wirehost.rs
@@ -132,10 +132,10 @@
 
 #[test]
 fn malformed_input_gets_a_one_line_message() {
-    let mut short = facts();
-    short.as_object_mut().expect("an object").remove("rules");
-    let mut odd = facts();
-    odd["familyInfo"]["roleListed"] = json!("perhaps");
+    let mut without_rules = facts();
+    without_rules.as_object_mut().expect("an object").remove("rules");
+    let mut unknown_role = facts();
+    unknown_role["familyInfo"]["roleListed"] = json!("perhaps");
     let start = |item: Value| batch(1.0, 1, &[(1, vec![begin(), census(0, 90), saved(), item])]);
     let completed = |code: u64| json!(["COMPLETED", 1, true, 0, "10.0.0.1:90", 1.0, code, 0, null]);
     let cases = [
@@ -143,8 +143,8 @@
         (json!({"seq": 1, "groups": []}).to_string(), "wall"),
         (json!({"wall": 1, "groups": []}).to_string(), "seq"),
         (json!({"wall": 1, "seq": 1}).to_string(), "groups"),
-        (batch(1.0, 1, &[(1, vec![json!(["BEGIN", 7, short])])]), "facts.rules"),
-        (batch(1.0, 1, &[(1, vec![json!(["BEGIN", 7, odd])])]), "roleListed"),
+        (batch(1.0, 1, &[(1, vec![json!(["BEGIN", 7, without_rules])])]), "facts.rules"),
+        (batch(1.0, 1, &[(1, vec![json!(["BEGIN", 7, unknown_role])])]), "roleListed"),
         (batch(1.0, 1, &[(1, vec![call(1, "look")])]), "before BEGIN"),
         (start(json!(["NOISE"])), "NOISE"),
         (start(json!([])), "no name"),
