--- a/tests/permission.rs
+++ b/tests/permission.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_repeated_only_where_its_class_permits() {
+fn attempt_that_may_have_run_is_repeated_only_if_its_class_permits() {
     let repeat = |at, effect, zone| may_repeat(at, effect, doubt(0), zone, MARGIN);
     let here = Some(ZoneId(1));
     assert_eq!(repeat(DEADLINE, Effect::Safe, here), Ok(()));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn attempt_is_written_in_its_time_and_begun_only_at_an_open_host() {
+fn attempt_is_written_within_its_time_limits_and_begun_only_at_an_open_host() {
     let facts =
         WriteFacts { until: 1_000, write_by: 900, told_until: None, begun: false, host: HostStanding::Open };
     assert_eq!(may_write(899, &facts), Ok(()));
@@ -97,7 +97,7 @@
 /// Guards the remaining time that is sent with a statement: it never exceeds the time that is left, and it is
 /// shorter for a statement that takes long to write.
 #[test]
-fn time_told_is_true_until_the_last_byte() {
+fn sent_remaining_time_is_true_until_the_last_byte() {
     for left in [1, 1_000, 400_000, 30_000_000] {
         for bytes in [100, 32 * 1024, 250_000] {
             let Telling { told, holds_for } = time_to_tell(left, bytes);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn process_takes_hands_over_ends_and_believes_lists_by_rule() {
+fn process_takes_hands_over_ends_and_applies_lists_by_rule() {
     assert_eq!((may_take(9, 10), may_take(10, 10)), (Ok(()), Err(TakeDenial::Expired)));
     assert_eq!(may_hand_over(true, true), Ok(()));
     assert_eq!(may_hand_over(true, false), Err(HandOverDenial::NoSuccessor));
