--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -151,11 +151,13 @@
         self.now
     }
 
+    /// Sets the clock without firing timers or timing out attempts.
     pub fn at(&mut self, now: Micros) {
         assert!(now >= self.now);
         self.now = now;
     }
 
+    /// Hands an event to the balancer and carries out the actions that it returns.
     pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -206,10 +208,12 @@
         self.now = until;
     }
 
+    /// Hands over a member list.
     pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
         self.handle(Event::Members { kind, entries });
     }
 
+    /// Hands over a complete list of these members, of which `leader` is the primary.
     pub fn members(&mut self, members: &[MemberId], leader: MemberId) {
         let entries = members.iter().map(|m| entry(*m, *m == leader)).collect();
         self.list(ListKind::Full, entries);
@@ -220,6 +224,7 @@
         self.report(member, position, false);
     }
 
+    /// Answers a probe with the member's position and role.
     pub fn report(&mut self, member: MemberId, position: Micros, primary: bool) {
         self.probing.retain(|m| *m != member);
         let report = Report { position: Some(position), primary: Some(primary), ..Report::default() };
@@ -330,6 +335,7 @@
         self.end_after(at, Ending::ConnectFailed, None, false, elapsed);
     }
 
+    /// Ends an attempt that took `elapsed`; `last` says whether this also ends its request.
     pub fn end_after(
         &mut self,
         (id, attempt, member): (u64, u32, MemberId),
@@ -380,6 +386,7 @@
         sends.collect()
     }
 
+    /// The number of attempts that were sent to a member.
     pub fn sends_to(&self, to: MemberId) -> usize {
         self.log.iter().filter(|(_, a)| matches!(a, Action::Send { member, .. } if *member == to)).count()
     }
