--- a/crates/gradeshunt/src/accept_failure.rs
+++ b/crates/gradeshunt/src/accept_failure.rs
@@ -1,27 +1,27 @@
-//! Errors of accept(2), by what is to be done about them.
+//! Errors of accept(2), grouped by how to react to them.
 
 use std::io;
 
 use rustix::io::Errno;
 
-/// Why a connection was not accepted, as accept(2) tells it.
+/// Why a connection was not accepted, according to accept(2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// No connection waits.
-    NoneWaits,
-    /// The connection that waited has broken; the next one may be sound.
-    ThatConnection,
-    /// This process has no descriptor left: one of its own connections has to make room.
-    Descriptors,
-    /// The system lacks something else, or refuses for a reason of its own: closing connections would not help.
+    /// No connection is waiting.
+    NoneWaiting,
+    /// The waiting connection has broken; the next one may be sound.
+    BrokenConnection,
+    /// This process has no descriptor left: one of its own connections must be closed.
+    OutOfDescriptors,
+    /// The system lacks another resource, or refuses for another reason: closing connections would not help.
     System,
 }
 
 impl AcceptFailure {
-    /// Reads an error of accept(2).
-    pub fn of(e: &io::Error) -> AcceptFailure {
+    /// Classifies an error of accept(2).
+    pub fn from_error(e: &io::Error) -> AcceptFailure {
         match Errno::from_io_error(e) {
-            Some(Errno::AGAIN) => AcceptFailure::NoneWaits,
+            Some(Errno::AGAIN) => AcceptFailure::NoneWaiting,
             Some(
                 Errno::INTR
                 | Errno::CONNABORTED
@@ -34,8 +34,8 @@
                 | Errno::OPNOTSUPP
                 | Errno::NETUNREACH
                 | Errno::TIMEDOUT,
-            ) => AcceptFailure::ThatConnection,
-            Some(Errno::MFILE) => AcceptFailure::Descriptors,
+            ) => AcceptFailure::BrokenConnection,
+            Some(Errno::MFILE) => AcceptFailure::OutOfDescriptors,
             _ => AcceptFailure::System,
         }
     }
--- a/crates/gradeshunt/src/backend/sync_marker.rs
+++ b/crates/gradeshunt/src/backend/sync_marker.rs
@@ -1,9 +1,11 @@
-//! Empty queries between requests: the order of answers shows which of them belong to no request.
+//! Sync markers: empty queries between requests, whose answers show which other answers belong to no request.
 //!
-//! No answer names its request. But answers come in the order of the commands, and db hosts answer an empty query at once. So each request
-//! that follows another one on a connection has an empty query before it: what comes before EmptyQueryResponse, such as a second copy of an
-//! earlier answer, is nobody's. An answer that is the same as an earlier one all the same has an empty query behind it: behind the
-//! request's own answer EmptyQueryResponse follows alone, behind a copy the request's own answer comes before it.
+//! No answer names its request, but answers arrive in the order of the commands, and db hosts answer an empty
+//! query at once. So an empty query precedes each request except the first on a connection: whatever arrives
+//! before EmptyQueryResponse, such as a duplicate of an earlier answer, is discarded. If an answer
+//! nevertheless equals an earlier one, the proxy sends another empty query after it. If EmptyQueryResponse
+//! comes next, the answer was the request's own; if the answer was a duplicate, the request's own answer
+//! comes first.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -11,12 +13,12 @@
 use leadmast::{Ending, Micros};
 use slog::debug;
 
-use super::connection::{Server, Stage, Unwritten};
+use super::connection::{HostConnection, Stage, WriteFailure};
 use super::discard::{Discard, Discarded};
 use super::jobs::Job;
 use super::reply::Reply;
 use super::Backend;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::exchange::{AnswerCheck, ConnectionEnd, Exchange};
 use crate::ids::ServerId;
 use crate::pg::{Malformed, Message, Writer};
@@ -24,109 +26,113 @@
 use crate::ring::Ring;
 use crate::turn::Turn;
 
-/// Answers that a connection remembers: a second copy that comes behind more than these is not known for one.
+/// Number of recent answers that a connection remembers. A duplicate that arrives after more answers is not
+/// recognized.
 pub(super) const ANSWERS_KEPT: usize = 8;
-/// How long an answer is held back for its marker. A request's own answer comes within its work, a marker at once.
+/// Time for which an answer is held back until its marker is answered. If it was a duplicate, the request's
+/// own answer may take as long as its execution; the marker itself is answered at once.
 const MARKER_TIMEOUT: Micros = 250_000;
 
-/// An empty query that is out.
+/// An empty query that is not answered yet.
 #[derive(Debug)]
 pub(super) struct SyncMarker {
-    place: MarkerPlace,
-    /// EmptyQueryResponse has come; ReadyForQuery is still to come.
+    position: MarkerPosition,
+    /// EmptyQueryResponse has arrived; ReadyForQuery is still to come.
     answered: bool,
 }
 
-/// Where an empty query stands among the requests of its connection.
+/// The position of an empty query among the requests of its connection.
 #[derive(Debug)]
-enum MarkerPlace {
-    /// Before the next request: what comes before its answer is nobody's.
+enum MarkerPosition {
+    /// Before the next request: what arrives before the marker's answer belongs to no request.
     BeforeRequest(Discard),
-    /// Behind an answer that may be a copy, whose request waits for it.
-    BehindAnswer(Box<HeldAnswer>),
+    /// After an answer that may be a duplicate and is held back until the marker is answered.
+    AfterAnswer(Box<HeldAnswer>),
 }
 
-/// An answer that may be a copy, and what comes behind it.
+/// An answer that may be a duplicate, and what arrives after it.
 #[derive(Debug)]
 struct HeldAnswer {
-    /// The latest answer to its request.
+    /// The latest answer that arrived for the request.
     held: Reply,
-    /// Until when that is held back.
+    /// The time until which that answer is held back.
     by: Micros,
-    /// An answer that comes before the marker's: the one that was held back for it was a copy.
-    before: Reply,
-    /// Such an answer has come whole.
-    overtaken: bool,
+    /// An answer that arrives before the marker's, which shows that the held answer was a duplicate.
+    next_answer: Reply,
+    /// Whether such an answer has arrived completely.
+    is_duplicate: bool,
 }
 
 impl SyncMarker {
-    /// An empty query before the next request.
+    /// A marker that precedes the next request.
     pub(super) fn before_request() -> SyncMarker {
-        SyncMarker { place: MarkerPlace::BeforeRequest(Discard::default()), answered: false }
+        SyncMarker { position: MarkerPosition::BeforeRequest(Discard::default()), answered: false }
     }
 
-    /// Reads over what is nobody's.
+    /// Discards what belongs to no request.
     pub(super) fn discard(&mut self, inbound: &mut Ring) -> Result<Discarded, Malformed> {
-        match &mut self.place {
-            MarkerPlace::BeforeRequest(discard) if !self.answered => discard.take(inbound),
+        match &mut self.position {
+            MarkerPosition::BeforeRequest(discard) if !self.answered => discard.take(inbound),
             _ => Ok(Discarded::UpToMarker),
         }
     }
 
-    /// Until when a request waits for it.
-    fn holds_until(&self) -> Option<Micros> {
-        match &self.place {
-            MarkerPlace::BehindAnswer(held) => Some(held.by),
-            MarkerPlace::BeforeRequest(_) => None,
+    /// The time until which a held answer waits for this marker.
+    fn held_until(&self) -> Option<Micros> {
+        match &self.position {
+            MarkerPosition::AfterAnswer(held) => Some(held.by),
+            MarkerPosition::BeforeRequest(_) => None,
         }
     }
 
-    /// Its request waits no longer: what comes before its answer is nobody's from now on.
-    fn give_up_held(&mut self) -> Option<Reply> {
-        let place = MarkerPlace::BeforeRequest(Discard::default());
-        match std::mem::replace(&mut self.place, place) {
-            MarkerPlace::BehindAnswer(held) => Some(held.held),
-            MarkerPlace::BeforeRequest(_) => None,
+    /// Stops holding an answer back and returns it. What arrives before the marker's answer is discarded from
+    /// now on.
+    fn release_held(&mut self) -> Option<Reply> {
+        let position = MarkerPosition::BeforeRequest(Discard::default());
+        match std::mem::replace(&mut self.position, position) {
+            MarkerPosition::AfterAnswer(held) => Some(held.held),
+            MarkerPosition::BeforeRequest(_) => None,
         }
     }
 }
 
 impl HeldAnswer {
-    /// Takes a message of an answer that comes before the marker's. One such answer belongs to the request before the marker.
-    fn take_before(&mut self, message: &Message) -> Result<(), Malformed> {
-        if self.overtaken {
+    /// Takes a message that arrives before the marker's answer. One such answer is the request's own.
+    fn handle_next_answer(&mut self, message: &Message) -> Result<(), Malformed> {
+        if self.is_duplicate {
             return match message.tag {
                 b'S' | b'N' | b'A' => Ok(()),
                 _ => Err(Malformed("more answers than requests")),
             };
         }
-        if self.before.is_full() {
-            return Err(Malformed("a long answer where an empty query's is due"));
+        if self.next_answer.is_full() {
+            return Err(Malformed("a long answer instead of the answer to an empty query"));
         }
-        if self.before.take(message)? {
-            self.overtaken = true;
-            self.held = std::mem::take(&mut self.before);
+        if self.next_answer.handle_message(message)? {
+            self.is_duplicate = true;
+            self.held = std::mem::take(&mut self.next_answer);
         }
         Ok(())
     }
 }
 
-/// What a message is on a connection whose marker may be out.
+/// The meaning of a message on a connection that may have a marker out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Marked {
-    /// One that waits for no further step.
-    Taken,
-    /// The end of a marker before a request: a second copy of an earlier answer came before it.
-    Discarded,
-    /// The end of a marker behind an answer: the request that waits for it has its own answer now.
-    Ended(AnswerCheck),
+pub(super) enum MarkerStep {
+    /// It belongs to the marker or to the held answer; nothing further is to be done.
+    Handled,
+    /// The end of a marker before a request; a duplicate of an earlier answer was discarded before it.
+    DuplicateDiscarded,
+    /// The end of a marker after a held answer: the request has its own answer now.
+    AnswerChecked(AnswerCheck),
     /// No marker is out.
-    Other,
+    NotForMarker,
 }
 
-/// What tells one answer from another; `None` while it is not whole, and where some of it was passed on already.
-fn digest(reply: &Reply) -> Option<u64> {
-    if reply.ending().is_none() || reply.passed.is_some() {
+/// A digest that identifies an answer; `None` while the answer is incomplete, or if some of it was already
+/// passed on.
+fn answer_digest(reply: &Reply) -> Option<u64> {
+    if reply.ending().is_none() || reply.last_passed_on.is_some() {
         return None;
     }
     let mut hasher = DefaultHasher::new();
@@ -135,40 +141,42 @@
     Some(hasher.finish())
 }
 
-impl Server {
-    /// Whether an answer is the same as a recent one here, so that it may be a second copy of that, also before its end: errors that tell a
-    /// position are looked into once they are whole, and others that turn a request away are not, for they come in numbers.
+impl HostConnection {
+    /// Whether an answer equals a recent one on this connection, so that it may be a duplicate; also known
+    /// before its ReadyForQuery. Excluded are errors that report a position, which `repeats_error` checks
+    /// once they are complete, and other refusals, which are too frequent.
     pub(super) fn may_be_copy(&self, reply: &Reply) -> bool {
-        let is_looked_into = match reply.ending() {
+        let is_checked = match reply.ending() {
             Some(Ending::Ok) => true,
-            Some(Ending::Error) => reply.told_error().is_none(),
+            Some(Ending::Error) => reply.error_with_position().is_none(),
             _ => false,
         };
-        is_looked_into && digest(reply).is_some_and(|digest| self.answers.contains(&digest))
+        is_checked && answer_digest(reply).is_some_and(|digest| self.answers.contains(&digest))
     }
 
-    /// Whether it has an answer now that may be a copy.
-    pub(super) fn has_doubtful_answer(&self) -> bool {
+    /// Whether the current answer may be a duplicate.
+    pub(super) fn may_hold_duplicate(&self) -> bool {
         matches!(&self.stage, Stage::Busy { reply, .. } if self.may_be_copy(reply))
     }
 
-    /// Whether its whole answer is to be held back for a marker.
+    /// Whether the complete answer is to be held back for a marker.
     pub(super) fn must_hold_answer(&self) -> bool {
         let repeats_error = matches!(&self.stage, Stage::Busy { reply, .. } if self.repeats_error(reply));
-        repeats_error || self.has_doubtful_answer()
+        repeats_error || self.may_hold_duplicate()
     }
 
-    /// Remembers an answer, whose second copy may come behind other answers.
+    /// Remembers an answer, so that a duplicate that arrives after other answers is recognized.
     pub(super) fn remember_answer(&mut self, reply: &Reply) {
-        self.answers.extend(digest(reply));
+        self.answers.extend(answer_digest(reply));
         if self.answers.len() > ANSWERS_KEPT {
             self.answers.pop_front();
         }
     }
 
-    /// What the next request begins with: a marker, unless it is the first one here, since a second copy of an earlier answer may be under
-    /// way. A marker that is out already does as well, for it was written behind that answer. Other proxies answer once, and an empty
-    /// query may be refused there.
+    /// Returns the messages that precede the next request: a marker, since a duplicate of an earlier answer
+    /// may be under way. None is needed for the first request on a connection, nor if a marker is already
+    /// out, since that was written after the earlier answers. Other proxies answer only once and may refuse
+    /// an empty query.
     pub(super) fn begin_request(&mut self) -> Writer {
         let is_first = !std::mem::replace(&mut self.has_carried_request, true);
         if is_first || self.marker.is_some() || is_peer(self.member) {
@@ -178,105 +186,114 @@
         Writer::default().query(&[b""])
     }
 
-    /// Whether nothing stands unread but what belongs before its marker or to that.
+    /// Whether nothing is unread except for what may precede or belong to a marker that is out.
     pub(super) fn is_quiet(&self) -> bool {
         self.polled.is_quiet() || (self.marker.is_some() && !self.polled.has_hung_up())
     }
 }
 
-/// Takes a message of a connection, whose marker may be out.
-pub(super) fn take_marked(
+/// Handles a message on a connection that may have a marker out.
+pub(super) fn handle_marker_message(
     marker: &mut Option<SyncMarker>,
     stage: &mut Stage,
     message: &Message,
-) -> Result<Marked, Malformed> {
-    let Some(SyncMarker { place, answered }) = marker else { return Ok(Marked::Other) };
-    match (message.tag, place) {
+) -> Result<MarkerStep, Malformed> {
+    let Some(SyncMarker { position, answered }) = marker else {
+        return Ok(MarkerStep::NotForMarker);
+    };
+    match (message.tag, position) {
         (b'Z', _) if *answered => return Ok(end_marker(marker, stage)),
-        // What a db host tells of itself, as behind any answer.
+        // The db host may send status messages, as after any answer.
         (b'S' | b'N' | b'A', _) if *answered => {}
-        (_, _) if *answered => return Err(Malformed("more than an empty query's answer")),
-        (b'I', MarkerPlace::BeforeRequest(_)) => *answered = true,
-        (b'I', MarkerPlace::BehindAnswer(held)) if held.before.is_empty() => *answered = true,
-        (_, MarkerPlace::BehindAnswer(held)) => held.take_before(message)?,
-        (_, MarkerPlace::BeforeRequest(_)) => return Err(Malformed("no empty query's answer")),
+        (_, _) if *answered => {
+            return Err(Malformed("unexpected message after the answer to an empty query"))
+        }
+        (b'I', MarkerPosition::BeforeRequest(_)) => *answered = true,
+        (b'I', MarkerPosition::AfterAnswer(held)) if held.next_answer.is_empty() => *answered = true,
+        (_, MarkerPosition::AfterAnswer(held)) => held.handle_next_answer(message)?,
+        (_, MarkerPosition::BeforeRequest(_)) => {
+            return Err(Malformed("the answer to an empty query is missing"))
+        }
     }
-    Ok(Marked::Taken)
+    Ok(MarkerStep::Handled)
 }
 
-/// A marker's answer has come whole.
-fn end_marker(marker: &mut Option<SyncMarker>, stage: &mut Stage) -> Marked {
-    match (marker.take().map(|marker| marker.place), stage) {
-        (Some(MarkerPlace::BehindAnswer(held)), Stage::Busy { reply, .. }) => {
-            let found = if held.overtaken { AnswerCheck::Copy } else { AnswerCheck::Own };
+/// Handles the end of a marker's answer.
+fn end_marker(marker: &mut Option<SyncMarker>, stage: &mut Stage) -> MarkerStep {
+    match (marker.take().map(|marker| marker.position), stage) {
+        (Some(MarkerPosition::AfterAnswer(held)), Stage::Busy { reply, .. }) => {
+            let found = if held.is_duplicate { AnswerCheck::Duplicate } else { AnswerCheck::Own };
             *reply = held.held;
-            Marked::Ended(found)
+            MarkerStep::AnswerChecked(found)
+        }
+        (Some(MarkerPosition::BeforeRequest(discard)), _) if discard.has_answer() => {
+            MarkerStep::DuplicateDiscarded
         }
-        (Some(MarkerPlace::BeforeRequest(discard)), _) if discard.has_answer() => Marked::Discarded,
-        _ => Marked::Taken,
+        _ => MarkerStep::Handled,
     }
 }
 
 impl Backend {
-    /// Writes a marker behind an answer that may be a copy, and holds that back until the marker is answered; a load report is taken as
-    /// it is, for an old one is none the worse. Behind an answer that came before its request was sent there can be no marker: it is
-    /// no answer.
+    /// Writes a marker after an answer that may be a duplicate, and holds the answer back until the marker is
+    /// answered. A load report is accepted as it is, since an old one does no harm. An answer that arrived
+    /// before its request was written completely cannot be checked this way, and is treated as malformed.
     pub(super) fn hold_for_marker(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         let Stage::Busy { job, reply, ready_by } = &mut s.stage else { return };
         if !job.is_written() {
-            return self.answer_malformed(turn, exchange, id, "an answer before its request");
+            return self.answer_malformed(turn, exchange, id, "an answer before its request was written");
         }
         let fresh = || Reply { form: reply.form, ..Reply::default() };
-        let (before, next) = (fresh(), fresh());
+        let (next_answer, empty) = (fresh(), fresh());
         let is_probe = matches!(job, Job::Probe { .. });
         *ready_by = None;
         let by = turn.now + MARKER_TIMEOUT;
-        let place = if is_probe {
-            MarkerPlace::BeforeRequest(Discard::default())
+        let position = if is_probe {
+            MarkerPosition::BeforeRequest(Discard::default())
         } else {
-            let held = std::mem::replace(reply, next);
-            MarkerPlace::BehindAnswer(Box::new(HeldAnswer { held, by, before, overtaken: false }))
+            let held = std::mem::replace(reply, empty);
+            MarkerPosition::AfterAnswer(Box::new(HeldAnswer { held, by, next_answer, is_duplicate: false }))
         };
-        s.marker = Some(SyncMarker { place, answered: false });
-        debug!(turn.log, "answer held back: it may be a copy"; "member" => s.member.0);
-        turn.deadlines.set(by, Due::Server(id));
+        s.marker = Some(SyncMarker { position, answered: false });
+        debug!(turn.log, "answer held back: it may duplicate an earlier one"; "member" => s.member.0);
+        turn.deadlines.set(by, DeadlineKind::Server(id));
         let pushed = s.outbound.push(&Writer::default().query(&[b""]).0);
         let written = if pushed {
             self.flush(turn, exchange, id)
         } else {
-            Err(Unwritten::Broken(std::io::ErrorKind::OutOfMemory.into()))
+            Err(WriteFailure::Io(std::io::ErrorKind::OutOfMemory.into()))
         };
         match written {
             Ok(()) if is_probe => self.connection_ready(turn, exchange, id),
             Ok(()) => {}
-            Err(why) => self.unwritten(turn, exchange, id, why),
+            Err(why) => self.write_failed(turn, exchange, id, why),
         }
     }
 
-    /// Whether an answer has been held back for long enough.
+    /// Whether the time for which an answer is held back has passed.
     pub(super) fn is_marker_due(&self, now: Micros, id: ServerId) -> bool {
         let marker = self.servers.get(&id).and_then(|s| s.marker.as_ref());
-        marker.and_then(SyncMarker::holds_until).is_some_and(|by| by <= now)
+        marker.and_then(SyncMarker::held_until).is_some_and(|by| by <= now)
     }
 
-    /// The marker is late. What may be another request's value is not served, and its request is not sent again beside one that may be
-    /// at work here: it fails. The connection may be used on: answers before the marker's are nobody's. Behind what may be another
-    /// request's error that connection is given up, so that the request may be sent again.
+    /// The marker was not answered in time. A value that may belong to another request is not served. Its
+    /// request fails rather than being sent again, since it may still be running on this connection. The
+    /// connection may be used again: answers before the marker's are discarded. After an error that may
+    /// belong to another request the connection is given up, so that the request may be sent again.
     pub(super) fn marker_due(&mut self, turn: &mut Turn, exchange: &mut Exchange, id: ServerId) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         let (member, by) = (s.member, turn.now);
-        exchange.note_answer_check(turn, member, AnswerCheck::Unknown);
-        let held = s.marker.as_mut().and_then(SyncMarker::give_up_held);
+        exchange.record_answer_check(turn, member, AnswerCheck::Unknown);
+        let held = s.marker.as_mut().and_then(SyncMarker::release_held);
         if held.is_some_and(|reply| reply.error.is_some()) {
-            return self.answer_copied(turn, exchange, id);
+            return self.handle_copied_error(turn, exchange, id);
         }
-        let Stage::Busy { mut job, .. } = std::mem::replace(&mut s.stage, Stage::Trailing { by }) else {
+        let Stage::Busy { mut job, .. } = std::mem::replace(&mut s.stage, Stage::AwaitsReady { by }) else {
             return;
         };
-        job.leave_connection(ConnectionEnd::AwaitsReady);
-        let reply = Reply { may_be_copy: true, ..Reply::default() };
-        self.end(turn, exchange, member, job, Ending::Error, reply);
+        job.set_connection_end(ConnectionEnd::AwaitsReady);
+        let reply = Reply { may_be_duplicate: true, ..Reply::default() };
+        self.end_job(turn, exchange, member, job, Ending::Error, reply);
         self.connection_ready(turn, exchange, id);
     }
 }
--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -1,5 +1,5 @@
-//! The operators' address: HTTP/1.1, one call a connection. Here calls are read and answers written; what a
-//! call asks for is done by the parts that own it.
+//! The operators' HTTP/1.1 interface, with one request per connection ("call"). This module parses calls and
+//! writes responses; the parts of the proxy that own a command carry it out.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -10,57 +10,63 @@
 use slog::warn;
 
 use crate::accept_failure::AcceptFailure;
-use crate::deadlines::Due;
-use crate::figures::{Count, Figures};
+use crate::deadlines::DeadlineKind;
+use crate::figures::{Metrics, OutcomeCounts};
 use crate::ids::CallerId;
-use crate::ring::{Moved, Ring};
-use crate::turn::{self, Polled, Source, Turn};
+use crate::ring::{Ring, Transfer};
+use crate::turn::{self, EventSource, Polled, Turn};
 
-/// Longest call taken, and its most headers.
-const LONGEST_CALL: usize = 8 * 1024;
-const HEADERS: usize = 64;
-/// How long a caller may take over its call, and how long it is read on after the answer.
+/// Maximum size in bytes of a call's head, and maximum number of its headers.
+const MAX_CALL_SIZE: usize = 8 * 1024;
+const MAX_HEADERS: usize = 64;
+/// How long a call may take to arrive and to be carried out, and how long a connection stays open after the
+/// response.
 const CALL_TIMEOUT: Micros = 3_000_000;
 const LINGER: Micros = 500_000;
-/// Pause after callers could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_RETRY: Micros = 20_000;
 
-/// What an operator asks for.
+/// A command of an operator.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command {
+    /// Report the proxy's state.
     Status,
-    Figures,
-    /// How the loop has fared.
+    /// Report the metrics.
+    Metrics,
+    /// Report the timing of the event loop.
     Loop,
-    /// How plain statements fare.
+    /// Report the counters of plain statements.
     Shapes,
-    /// Nothing new to the db host of this name, until it is readmitted.
+    /// Send no new requests to the db host of this name until it is readmitted.
     HoldOut(String),
+    /// Readmit the db host of this name.
     Readmit(String),
-    /// How sites stand.
+    /// Report the state of the sites.
     Sites,
-    /// Nothing new to a site's db hosts, until it is let back.
+    /// Send no new requests to the db hosts of this site until the site is readmitted.
     HoldSite(String),
-    LetSiteBack(String),
-    /// Which group this proxy is in, and how the others of it stand.
+    /// Readmit the site of this name.
+    ReadmitSite(String),
+    /// Report the group of this proxy and the state of its peers.
     Placement,
-    /// Clients are to be sent away, or served again.
+    /// Close clients between requests.
     Standby,
+    /// Serve clients again.
     Active,
 }
 
-/// What a caller is told.
+/// The response to a call.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     status: u16,
-    /// The one method that the path has, where the call used another.
+    /// The method that the path supports, if the call used another one.
     allow: Option<&'static str>,
     body: String,
 }
 
-impl Answer {
+impl Response {
     pub fn new(status: u16, body: impl Into<String>) -> Self {
-        Answer { status, allow: None, body: body.into() }
+        Response { status, allow: None, body: body.into() }
     }
 
     fn bytes(&self) -> Vec<u8> {
@@ -83,15 +89,17 @@
     }
 }
 
+/// The state of an operator's connection.
 enum Stage {
-    /// Its call is not whole yet.
-    Asking,
-    /// Its call is being carried out.
-    Owed,
-    /// Its answer is given; whatever still comes is discarded until it closes too.
+    /// The call is incomplete.
+    Receiving,
+    /// The call is being carried out.
+    Executing,
+    /// The response is written or buffered; further input is discarded until the caller closes.
     Answered,
 }
 
+/// An operator's connection.
 struct Caller {
     polled: Polled,
     inbound: Ring,
@@ -100,19 +108,19 @@
     due: Micros,
 }
 
-/// The operators' side.
+/// The listener for operators and their connections.
 pub struct Control {
     listener: Polled<TcpListener>,
-    most: usize,
+    max_callers: usize,
     callers: BTreeMap<CallerId, Caller>,
-    next: u64,
+    next_caller: u64,
 }
 
 impl Control {
-    /// Listens at `addr` and holds `most` callers at most.
-    pub fn listen(turn: &Turn, addr: SocketAddr, most: usize) -> io::Result<Self> {
-        let listener = Polled::new(turn, turn::listener(addr)?, Source::Control)?;
-        Ok(Control { listener, most, callers: BTreeMap::new(), next: 0 })
+    /// Listens at `addr` and keeps at most `max_callers` connections open.
+    pub fn listen(turn: &Turn, addr: SocketAddr, max_callers: usize) -> io::Result<Self> {
+        let listener = Polled::new(turn, turn::listening_socket(addr)?, EventSource::Control)?;
+        Ok(Control { listener, max_callers, callers: BTreeMap::new(), next_caller: 0 })
     }
 
     pub fn local_addr(&self) -> Option<SocketAddr> {
@@ -120,37 +128,39 @@
     }
 
     pub fn accept(&mut self, turn: &mut Turn) {
-        // As many as there may be at a time: those that come after them have their turn, too.
-        for _ in 0..self.most {
+        // At most as many per turn as may be open at a time, so that accepted callers are served before more
+        // come.
+        for _ in 0..self.max_callers {
             match self.listener.socket.accept() {
                 Ok((socket, _)) => {
                     if let Err(e) = self.accept_caller(turn, socket) {
                         warn!(turn.log, "cannot serve an operator's connection"; "error" => e.to_string());
                     }
                 }
-                Err(e) => match AcceptFailure::of(&e) {
-                    AcceptFailure::NoneWaits => return,
-                    AcceptFailure::ThatConnection => {}
-                    AcceptFailure::Descriptors | AcceptFailure::System => {
+                Err(e) => match AcceptFailure::from_error(&e) {
+                    AcceptFailure::NoneWaiting => return,
+                    AcceptFailure::BrokenConnection => {}
+                    AcceptFailure::OutOfDescriptors | AcceptFailure::System => {
                         warn!(turn.log, "cannot accept an operator's connection"; "error" => e.to_string());
-                        turn.deadlines.set(turn.now + ACCEPT_RETRY, Due::AcceptCallers);
+                        turn.deadlines.set(turn.now + ACCEPT_RETRY, DeadlineKind::RetryAcceptCallers);
                         return;
                     }
                 },
             }
         }
-        turn.again.push(Source::Control);
+        turn.unfinished.push(EventSource::Control);
     }
 
     fn accept_caller(&mut self, turn: &mut Turn, socket: TcpStream) -> io::Result<()> {
-        if self.callers.len() >= self.most {
-            // Whoever has been silent longest makes room; one whose call stands unread is spared.
-            let silent = |c: &Caller| match c.stage {
+        if self.callers.len() >= self.max_callers {
+            // Closes the oldest connection that is answered or has nothing unread; if there is none, the
+            // oldest one.
+            let may_make_room = |c: &Caller| match c.stage {
                 Stage::Answered => true,
-                Stage::Owed => false,
-                Stage::Asking => c.polled.is_quiet(),
+                Stage::Executing => false,
+                Stage::Receiving => c.polled.is_quiet(),
             };
-            let oldest = self.callers.iter().find(|(_, c)| silent(c)).map(|(id, _)| *id);
+            let oldest = self.callers.iter().find(|(_, c)| may_make_room(c)).map(|(id, _)| *id);
             match oldest.or(self.callers.keys().next().copied()) {
                 Some(id) => self.close(turn, id),
                 None => return Err(io::Error::other("no descriptors for operators")),
@@ -158,40 +168,43 @@
         }
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
-        let id = CallerId(self.next);
-        self.next += 1;
-        let polled = Polled::new(turn, socket, Source::Caller(id))?;
+        let id = CallerId(self.next_caller);
+        self.next_caller += 1;
+        let polled = Polled::new(turn, socket, EventSource::Caller(id))?;
         let due = turn.now + CALL_TIMEOUT;
-        turn.deadlines.set(due, Due::Caller(id));
+        turn.deadlines.set(due, DeadlineKind::Caller(id));
         let (inbound, outbound) = (Ring::default(), Ring::default());
-        self.callers.insert(id, Caller { polled, inbound, outbound, stage: Stage::Asking, due });
+        self.callers.insert(id, Caller { polled, inbound, outbound, stage: Stage::Receiving, due });
         Ok(())
     }
 
-    /// Reads on; a whole call is handed out once, and owed [`Control::answer`].
+    /// Reads and writes as far as possible. Returns a complete call once; the caller must follow it with
+    /// [`Control::respond`].
     pub fn ready(&mut self, turn: &mut Turn, id: CallerId) -> Option<Command> {
         loop {
             let c = self.callers.get_mut(&id)?;
-            let moved = c.outbound.drain(&c.polled.socket).and_then(|_| c.inbound.fill(&c.polled.socket));
+            let moved =
+                c.outbound.write_to(&c.polled.socket).and_then(|_| c.inbound.read_from(&c.polled.socket));
             match (moved, &c.stage) {
-                (Ok(Moved::Nothing), Stage::Answered) if c.outbound.is_empty() => {
-                    // Closing at once would reset what the caller has yet to read.
+                (Ok(Transfer::Blocked), Stage::Answered) if c.outbound.is_empty() => {
+                    // An immediate close could reset the connection and destroy what the caller has yet to
+                    // read.
                     let _ = c.polled.socket.shutdown(Shutdown::Write);
                     return None;
                 }
-                (Ok(Moved::Nothing), _) => return None,
-                (Ok(Moved::Some(n)), Stage::Answered | Stage::Owed) => c.inbound.consume(n),
-                (Ok(Moved::Some(_)), Stage::Asking) => match read(c.inbound.bytes()) {
+                (Ok(Transfer::Blocked), _) => return None,
+                (Ok(Transfer::Bytes(n)), Stage::Answered | Stage::Executing) => c.inbound.consume(n),
+                (Ok(Transfer::Bytes(_)), Stage::Receiving) => match parse_call(c.inbound.bytes()) {
                     Ok(None) => {}
                     Ok(Some(command)) => {
-                        (c.stage, c.inbound) = (Stage::Owed, Ring::default());
+                        (c.stage, c.inbound) = (Stage::Executing, Ring::default());
                         return Some(command);
                     }
-                    Err(answer) => self.answer(turn, id, &answer),
+                    Err(response) => self.respond(turn, id, &response),
                 },
-                // One that has said all it will still waits for its answer.
-                (Ok(Moved::End), Stage::Owed) => return None,
-                (Ok(Moved::End) | Err(_), _) => {
+                // A caller that has shut down its sending side still waits for the response.
+                (Ok(Transfer::End), Stage::Executing) => return None,
+                (Ok(Transfer::End) | Err(_), _) => {
                     self.close(turn, id);
                     return None;
                 }
@@ -199,23 +212,25 @@
         }
     }
 
-    pub fn answer(&mut self, turn: &mut Turn, id: CallerId, answer: &Answer) {
+    /// Writes the response to a call.
+    pub fn respond(&mut self, turn: &mut Turn, id: CallerId, response: &Response) {
         let Some(c) = self.callers.get_mut(&id) else { return };
         (c.stage, c.inbound) = (Stage::Answered, Ring::default());
-        let _ = c.outbound.push(&answer.bytes());
-        turn.deadlines.clear(c.due, Due::Caller(id));
+        let _ = c.outbound.push(&response.bytes());
+        turn.deadlines.clear(c.due, DeadlineKind::Caller(id));
         c.due = turn.now + LINGER;
-        turn.deadlines.set(c.due, Due::Caller(id));
+        turn.deadlines.set(c.due, DeadlineKind::Caller(id));
         self.ready(turn, id);
     }
 
-    /// A caller took too long over its call, or to close.
+    /// Handles an expired deadline: the call did not arrive or was not carried out in time, or the caller did
+    /// not close.
     pub fn due(&mut self, turn: &mut Turn, id: CallerId) {
         match self.callers.get(&id).map(|c| &c.stage) {
-            Some(Stage::Asking) => self.answer(turn, id, &Answer::new(408, "no whole call in time\n")),
-            Some(Stage::Owed) => {
-                warn!(turn.log, "an operator's call is not carried out in time, but may be yet");
-                self.answer(turn, id, &Answer::new(504, "not carried out in time, but may be yet\n"));
+            Some(Stage::Receiving) => self.respond(turn, id, &Response::new(408, "no whole call in time\n")),
+            Some(Stage::Executing) => {
+                warn!(turn.log, "an operator's call was not carried out in time, but may still be");
+                self.respond(turn, id, &Response::new(504, "not carried out in time, but may be yet\n"));
             }
             Some(Stage::Answered) => self.close(turn, id),
             None => {}
@@ -224,31 +239,31 @@
 
     fn close(&mut self, turn: &mut Turn, id: CallerId) {
         if let Some(c) = self.callers.remove(&id) {
-            turn.deadlines.clear(c.due, Due::Caller(id));
+            turn.deadlines.clear(c.due, DeadlineKind::Caller(id));
             c.polled.close(turn);
         }
     }
 }
 
-/// Reads a call; `None` until its head is whole. A body asks for nothing here.
-fn read(bytes: &[u8]) -> Result<Option<Command>, Answer> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+/// Parses a call; returns `None` until its head is complete. Bodies are ignored.
+fn parse_call(bytes: &[u8]) -> Result<Option<Command>, Response> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(bytes) {
         Ok(httparse::Status::Complete(_)) => {}
-        Ok(httparse::Status::Partial) if bytes.len() < LONGEST_CALL => return Ok(None),
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_CALL_SIZE => return Ok(None),
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-            return Err(Answer::new(431, "the call is too long\n"))
+            return Err(Response::new(431, "the call is too long\n"))
         }
-        Err(e) => return Err(Answer::new(400, format!("not HTTP/1.1: {e}\n"))),
+        Err(e) => return Err(Response::new(400, format!("not HTTP/1.1: {e}\n"))),
     }
     let (method, target) = (request.method.unwrap_or_default(), request.path.unwrap_or_default());
     let path = target.split('?').next().unwrap_or_default();
     let parts: Vec<_> = path.split('/').skip(1).collect();
-    let id = |id: &str| decode(id).ok_or_else(|| Answer::new(400, "the id can't be read\n"));
+    let id = |id: &str| decode_percent(id).ok_or_else(|| Response::new(400, "the id can't be read\n"));
     let (allow, command) = match parts[..] {
         ["status"] => ("GET", Command::Status),
-        ["status", "metrics"] => ("GET", Command::Figures),
+        ["status", "metrics"] => ("GET", Command::Metrics),
         ["shapes"] => ("GET", Command::Shapes),
         ["status", "loop"] => ("GET", Command::Loop),
         ["maintenance", "enter", name] => ("PUT", Command::HoldOut(id(name)?)),
@@ -256,19 +271,19 @@
         ["sites"] => ("GET", Command::Sites),
         ["placement"] => ("GET", Command::Placement),
         ["sites", "hold", name] => ("PUT", Command::HoldSite(id(name)?)),
-        ["sites", "back", name] => ("PUT", Command::LetSiteBack(id(name)?)),
+        ["sites", "back", name] => ("PUT", Command::ReadmitSite(id(name)?)),
         ["standby"] => ("PUT", Command::Standby),
         ["active"] => ("PUT", Command::Active),
-        _ => return Err(Answer::new(404, "no such call\n")),
+        _ => return Err(Response::new(404, "no such call\n")),
     };
     if method != allow {
-        return Err(Answer { status: 405, allow: Some(allow), body: format!("only {allow}\n") });
+        return Err(Response { status: 405, allow: Some(allow), body: format!("only {allow}\n") });
     }
     Ok(Some(command))
 }
 
-/// Undoes percent-encoding.
-fn decode(text: &str) -> Option<String> {
+/// Decodes percent-encoding; returns `None` if the text is empty or malformed.
+fn decode_percent(text: &str) -> Option<String> {
     let mut pieces = text.split('%');
     let mut bytes = pieces.next()?.as_bytes().to_vec();
     for piece in pieces {
@@ -279,9 +294,9 @@
     String::from_utf8(bytes).ok().filter(|id| !id.is_empty())
 }
 
-/// The figures as text: a line each, by class where a class has its own.
-pub fn exposition(figures: &Figures, classes: &[String], tenants: &[String]) -> String {
-    let statuses = |c: &Count| [("success", c.served), ("overload", c.refused), ("error", c.failed)];
+/// Renders the metrics in the text exposition format.
+pub fn exposition(figures: &Metrics, classes: &[String], tenants: &[String]) -> String {
+    let statuses = |c: &OutcomeCounts| [("success", c.served), ("overload", c.refused), ("error", c.failed)];
     let mut text = String::from("# TYPE app_replies counter\n");
     for (class, count) in classes.iter().zip(&figures.classes) {
         for (status, n) in statuses(count) {
@@ -315,10 +330,10 @@
             let _ = writeln!(text, "app_{name}{{{label}=\"{value}\"}} {n}");
         }
     }
-    if !figures.reasons.is_empty() {
+    if !figures.unserved.is_empty() {
         text += "# TYPE app_not_served counter\n";
     }
-    for ((outcome, reason), n) in &figures.reasons {
+    for ((outcome, reason), n) in &figures.unserved {
         let _ = writeln!(text, "app_not_served{{outcome=\"{outcome}\",reason=\"{reason}\"}} {n}");
     }
     let totals = [
@@ -328,7 +343,7 @@
         ("expired_unsent", "counter", figures.expired_unsent),
         ("concurrent", "gauge", figures.concurrent),
         ("targets", "gauge", figures.targets),
-        ("targets_disabled", "gauge", figures.avoided),
+        ("targets_disabled", "gauge", figures.targets_avoided),
     ];
     for (name, kind, n) in totals {
         let _ = writeln!(text, "# TYPE app_{name} {kind}\napp_{name} {n}");
--- a/crates/gradeshunt/src/cycle.rs
+++ b/crates/gradeshunt/src/cycle.rs
@@ -1,4 +1,5 @@
-//! The loop: waits until a source is ready or a deadline falls due, and has the proxy's parts work it off.
+//! The event loop: waits until a source is ready or a deadline expires, and has the parts of the proxy
+//! process it.
 
 use std::os::fd::{AsFd, BorrowedFd};
 use std::time::Duration;
@@ -7,123 +8,125 @@
 use slog::info;
 
 use crate::control_core::Core;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::transient::retry_while_transient;
-use crate::turn::{Ready, Source};
+use crate::turn::{EventSource, ReadySources};
 
-/// Those who work off what a turn of the loop brings.
-pub trait Parts {
-    /// The control part, which holds the deadlines.
+/// The handlers of ready sources and expired deadlines.
+pub trait Handlers {
+    /// The control part, which has the deadlines.
     fn core(&mut self) -> &mut Core;
 
-    /// Works off a source that has become ready.
-    fn event(&mut self, source: Source);
+    /// Processes a source that has become ready.
+    fn on_event(&mut self, source: EventSource);
 
-    /// Works off a deadline that has fallen due.
-    fn due(&mut self, due: Due);
+    /// Processes an expired deadline.
+    fn on_deadline(&mut self, due: DeadlineKind);
 }
 
-/// The loop of one proxy.
-pub struct Cycle {
-    event_loop: EventLoop<'static, Ready>,
-    ready: Ready,
+/// The event loop of a proxy.
+pub struct ProxyLoop {
+    event_loop: EventLoop<'static, ReadySources>,
+    ready: ReadySources,
 }
 
-impl Cycle {
-    /// Opens a poll.
+impl ProxyLoop {
+    /// Opens the poll.
     ///
     /// # Errors
     ///
-    /// Where the system gives none.
-    pub fn open() -> Result<Cycle, String> {
+    /// If the system can't create one.
+    pub fn open() -> Result<ProxyLoop, String> {
         let event_loop =
             retry_while_transient(|| Ok(EventLoop::try_new()?)).map_err(|e| format!("cannot poll: {e}"))?;
-        Ok(Cycle { event_loop, ready: Ready::new() })
+        Ok(ProxyLoop { event_loop, ready: ReadySources::new() })
     }
 
-    /// The poll, for those who add sources to it.
-    pub fn event_loop(&self) -> &EventLoop<'static, Ready> {
+    /// The poll, to which the parts add their sources.
+    pub fn event_loop(&self) -> &EventLoop<'static, ReadySources> {
         &self.event_loop
     }
 
-    /// How long a turn may wait for sources before something is due: zero where there is work left, nothing where there
-    /// is no deadline.
+    /// Returns how long a turn may wait for sources: zero if work is left, `None` if there is no deadline.
     pub fn wait(core: &Core) -> Option<Duration> {
         let until = core.turn.deadlines.next();
         let wait = until.map(|at| (at - core.turn.clock.now()).max(0));
-        let wait = if core.turn.again.is_empty() { wait } else { Some(0) };
+        let wait = if core.turn.unfinished.is_empty() { wait } else { Some(0) };
         wait.map(|t| Duration::from_micros(t as u64))
     }
 
-    /// One turn: waits for sources, so long at most, then works off all that is ready and due.
+    /// Runs one turn: waits up to `wait` for sources, then processes all that are ready and all expired
+    /// deadlines.
     ///
     /// # Errors
     ///
-    /// Where the system can't poll.
-    pub fn turn(&mut self, parts: &mut impl Parts, wait: Option<Duration>) -> Result<(), String> {
-        let until = parts.core().turn.deadlines.next();
+    /// If polling fails.
+    pub fn run_turn(&mut self, handlers: &mut impl Handlers, wait: Option<Duration>) -> Result<(), String> {
+        let until = handlers.core().turn.deadlines.next();
         self.event_loop.dispatch(wait, &mut self.ready).map_err(|e| format!("cannot poll: {e}"))?;
-        let mut sources = self.begin(parts.core(), until);
-        sources.sort_by_key(|source| rank(*source));
+        let mut sources = self.begin_turn(handlers.core(), until);
+        sources.sort_by_key(|source| source_order(*source));
         for source in sources {
-            parts.event(source);
-            worked(parts.core(), source.name());
+            handlers.on_event(source);
+            record_processed(handlers.core(), source.name());
         }
         loop {
-            let turn = &mut parts.core().turn;
-            let Some(due) = turn.deadlines.pop(turn.now) else { break };
-            parts.due(due);
-            worked(parts.core(), due.name());
+            let turn = &mut handlers.core().turn;
+            let Some(due) = turn.deadlines.pop_expired(turn.now) else { break };
+            handlers.on_deadline(due);
+            record_processed(handlers.core(), due.name());
         }
-        let core = parts.core();
+        let core = handlers.core();
         core.loop_stats.end(&core.turn.log);
         Ok(())
     }
 
-    /// The turn begins; gives what is to be worked off.
-    fn begin(&mut self, core: &mut Core, until: Option<leadmast::Micros>) -> Vec<Source> {
+    /// Sets the clocks for a new turn and returns the sources to process.
+    fn begin_turn(&mut self, core: &mut Core, until: Option<leadmast::Micros>) -> Vec<EventSource> {
         if core.turn.clock.observe() {
             info!(core.turn.log, "the wall clock was stepped"; "ms" => core.turn.clock.candidate_step() / 1000);
         }
         core.turn.now = core.turn.clock.now();
         core.loop_stats.begin(core.turn.now, until);
-        core.turn.unread = core.loop_stats.unread();
-        let again = std::mem::take(&mut core.turn.again);
-        again.into_iter().chain(self.ready.drain(..)).collect()
+        core.turn.unread_for = core.loop_stats.time_unread();
+        let unfinished = std::mem::take(&mut core.turn.unfinished);
+        unfinished.into_iter().chain(self.ready.drain(..)).collect()
     }
 }
 
-impl AsFd for Cycle {
-    /// The poll's own descriptor, which is ready for reading when a source is.
+impl AsFd for ProxyLoop {
+    /// The poll's own descriptor, which is readable when a source is ready.
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.event_loop.as_fd()
     }
 }
 
-/// The order in which sources of one turn are worked off, 0 first. Operators' calls are few and owed an answer whatever the
-/// load. Discovery comes next: what is sent in this turn may not go to a db host of which the turn has brought that it drains.
-/// Clients come before db hosts: of a client that has left in the turn in which a connection came up for its request, nothing
-/// may be sent on.
-fn rank(source: Source) -> u8 {
+/// Returns the position of a source in the order of a turn, 0 first. Operators' calls come first because they
+/// are few and must be answered under any load. Discovery comes next, so that no request goes to a db host
+/// that starts to drain in the same turn. Clients come before db hosts, so that the request of a client that
+/// has disconnected is not written to a db host connection that is established in the same turn.
+fn source_order(source: EventSource) -> u8 {
     match source {
-        Source::Control | Source::Caller(_) => 0,
-        Source::Call(_) => 1,
-        Source::Session(_) => 2,
-        Source::Listener
-        | Source::PeerListener
-        | Source::Server(_)
-        | Source::Terminate
-        | Source::Reload
-        | Source::Files => 3,
+        EventSource::Control | EventSource::Caller(_) => 0,
+        EventSource::Call(_) => 1,
+        EventSource::Session(_) => 2,
+        EventSource::Listener
+        | EventSource::PeerListener
+        | EventSource::Server(_)
+        | EventSource::Terminate
+        | EventSource::Reload
+        | EventSource::FileTask => 3,
     }
 }
 
-/// A source or a deadline of this name is worked off. What comes next in the turn has its own time, but was there as long before:
-/// with the time of the turn's beginning, requests at its end would tell their db hosts what it has taken as time left.
-fn worked(core: &mut Core, name: &'static str) {
+/// Records that a source or deadline of this kind is processed, and advances the turn's time. Without this,
+/// requests at the end of a long turn would send their db hosts a remaining wait that includes time the turn
+/// has already used. Whatever is processed next has been waiting since before the turn, so `unread` grows by
+/// the same amount.
+fn record_processed(core: &mut Core, name: &'static str) {
     let now = core.turn.clock.now();
-    core.loop_stats.worked(name, now);
-    core.turn.unread += now - core.turn.now;
+    core.loop_stats.record_source(name, now);
+    core.turn.unread_for += now - core.turn.now;
     core.turn.now = now;
 }
 
--- a/crates/gradeshunt/src/deadlines.rs
+++ b/crates/gradeshunt/src/deadlines.rs
@@ -1,4 +1,4 @@
-//! All deadlines of the proxy, in one sorted structure that is swept each turn.
+//! All deadlines of the proxy, in one sorted set from which each turn takes those that have expired.
 
 use std::collections::BTreeSet;
 
@@ -6,99 +6,105 @@
 
 use crate::ids::{AttemptId, CallId, CallerId, ServerId, SessionId};
 
-/// What falls due.
+/// The kind of a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// A timer of the module.
+pub enum DeadlineKind {
+    /// A timer of the decision module.
     Module(TimerTag),
-    /// A request whose final answer is overdue: the module should have given it long ago.
+    /// A request that the decision module should have answered long ago.
     Overdue(RequestId),
-    /// An attempt that has waited long enough.
+    /// The timeout of an attempt.
     Attempt(AttemptId),
-    /// A request whose try at another proxy has come to nothing may be sent on again.
-    SendOn(RequestId),
-    /// A probe that has.
+    /// A request that could not be forwarded to another proxy may be forwarded again.
+    ForwardAgain(RequestId),
+    /// The timeout of a probe.
     Probe(MemberId),
-    /// Connections to a db host for which the system lacked something are tried again.
-    Connect(MemberId),
-    /// A db host connection that should be up by now, or has stood idle long enough.
+    /// Retry of connects to a db host that failed for want of a system resource.
+    RetryConnect(MemberId),
+    /// The connect timeout or idle timeout of a db host connection.
     Server(ServerId),
-    /// A client that should have sent its startup message by now, or read its last answer.
+    /// The timeout of a client's message or of closing its connection.
     Session(SessionId),
-    /// A call to discovery that is silent.
+    /// The timeout of a call to discovery.
     Call(CallId),
-    /// The watch of discovery is opened anew.
-    Reopen,
-    /// An operator that should have made its call by now, or closed.
+    /// The watch on discovery is opened again.
+    ReopenWatch,
+    /// The timeout of an operator's call or of closing its connection.
     Caller(CallerId),
-    /// Clients' connections that could not be accepted are tried again.
-    Accept,
-    /// Other proxies' connections that could not be accepted are tried again.
-    AcceptPeers,
-    /// Operators' connections that could not be accepted are tried again.
-    AcceptCallers,
-    /// The folder that the processes of this proxy share is looked at.
-    Look,
-    /// A new process waits no longer to see that folder.
-    Begin,
-    /// A new process waits no longer for discovery before it serves beside another.
-    Serve,
-    /// Idle clients are looked over.
-    Reap,
-    /// The listener closes after SIGTERM.
+    /// Retry of a failed accept of clients.
+    RetryAccept,
+    /// Retry of a failed accept of other proxies.
+    RetryAcceptPeers,
+    /// Retry of a failed accept of operators.
+    RetryAcceptCallers,
+    /// Check of the folder that the processes of this proxy share.
+    CheckSharedFolder,
+    /// A new process starts without having seen the shared folder.
+    SharedFolderTimeout,
+    /// A new process next to another one starts to serve, or checks again if it knows no db hosts yet.
+    DiscoveryTimeout,
+    /// Scan for idle clients.
+    ScanIdleClients,
+    /// Close of the listener after SIGTERM.
     CloseListener,
-    /// The sites are looked at.
-    Sites,
-    /// A line in the log.
+    /// Check of the sites.
+    CheckSites,
+    /// Summary line in the log.
     Summary,
-    /// What is still open after SIGTERM is answered.
+    /// After SIGTERM: all requests still in progress get an answer.
     LastAnswers,
-    /// The last moment at which the program leaves after SIGTERM.
-    Leave,
+    /// After SIGTERM: the time by which the process exits.
+    Exit,
 }
 
-impl Due {
-    /// Its name in the log and the figures.
+impl DeadlineKind {
+    /// The kind of deadline, as the log and the metrics name it.
     pub fn name(self) -> &'static str {
         match self {
-            Due::Module(_) => "module's timers",
-            Due::Overdue(_)
-            | Due::SendOn(_)
-            | Due::Attempt(_)
-            | Due::Probe(_)
-            | Due::Connect(_)
-            | Due::Server(_) => "db hosts' deadlines",
-            Due::Session(_) | Due::Accept | Due::AcceptPeers | Due::Reap | Due::CloseListener => {
-                "clients' deadlines"
-            }
-            Due::Call(_) | Due::Reopen => "discovery's deadlines",
-            Due::Caller(_) | Due::AcceptCallers => "operators' deadlines",
-            Due::Look | Due::Begin | Due::Serve | Due::Sites | Due::Summary => "housekeeping",
-            Due::LastAnswers | Due::Leave => "housekeeping",
+            DeadlineKind::Module(_) => "module's timers",
+            DeadlineKind::Overdue(_)
+            | DeadlineKind::ForwardAgain(_)
+            | DeadlineKind::Attempt(_)
+            | DeadlineKind::Probe(_)
+            | DeadlineKind::RetryConnect(_)
+            | DeadlineKind::Server(_) => "db hosts' deadlines",
+            DeadlineKind::Session(_)
+            | DeadlineKind::RetryAccept
+            | DeadlineKind::RetryAcceptPeers
+            | DeadlineKind::ScanIdleClients
+            | DeadlineKind::CloseListener => "clients' deadlines",
+            DeadlineKind::Call(_) | DeadlineKind::ReopenWatch => "discovery's deadlines",
+            DeadlineKind::Caller(_) | DeadlineKind::RetryAcceptCallers => "operators' deadlines",
+            DeadlineKind::CheckSharedFolder
+            | DeadlineKind::SharedFolderTimeout
+            | DeadlineKind::DiscoveryTimeout
+            | DeadlineKind::CheckSites
+            | DeadlineKind::Summary => "housekeeping",
+            DeadlineKind::LastAnswers | DeadlineKind::Exit => "housekeeping",
         }
     }
 }
 
-/// The sorted deadlines.
+/// The set of deadlines, sorted by time.
 #[derive(Default)]
-pub struct Deadlines(BTreeSet<(Micros, Due)>);
+pub struct Deadlines(BTreeSet<(Micros, DeadlineKind)>);
 
 impl Deadlines {
-    pub fn set(&mut self, at: Micros, due: Due) {
+    pub fn set(&mut self, at: Micros, due: DeadlineKind) {
         self.0.insert((at, due));
     }
 
-    pub fn clear(&mut self, at: Micros, due: Due) {
+    pub fn clear(&mut self, at: Micros, due: DeadlineKind) {
         self.0.remove(&(at, due));
     }
 
-    /// When the next one falls due.
+    /// Returns the time of the earliest deadline.
     pub fn next(&self) -> Option<Micros> {
         self.0.first().map(|d| d.0)
     }
 
-    /// Takes the next one that is due by now.
-    pub fn pop(&mut self, now: Micros) -> Option<Due> {
+    /// Removes and returns the earliest deadline if it has expired.
+    pub fn pop_expired(&mut self, now: Micros) -> Option<DeadlineKind> {
         let first = *self.0.first().filter(|d| d.0 <= now)?;
         self.0.remove(&first);
         Some(first.1)
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -1,4 +1,5 @@
-//! The exchange's state: the requests, the decisions, and what is queued for the two sides.
+//! State of the exchange: open requests, the balancer, and the queues to the frontend, the backend and
+//! discovery.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,42 +7,44 @@
 use leadmast::permission::AttemptLimits;
 use leadmast::{Action, Balancer, ClassId, Effect, Event, Micros, RequestId, Settings};
 
-use super::messages::{Answer, Ask, Order};
+use super::messages::{Answer, BackendCommand, DiscoveryCall};
 use super::request::Request;
-use super::tally::Tally;
-use crate::figures::{Count, Figures, TenantCount};
+use super::tally::SummaryCounts;
+use crate::figures::{Metrics, OutcomeCounts, TenantCount};
 use crate::placing::Placing;
 use crate::site_loss;
 
-/// The exchange.
+/// Tracks requests and attempts, and carries out the balancer's decisions.
 pub struct Exchange {
     pub(super) balancer: Balancer,
-    pub(super) slack: Micros,
+    pub(super) answer_slack: Micros,
     pub(super) limits: AttemptLimits,
     pub(super) drain_grace: Micros,
     pub(super) requests: BTreeMap<RequestId, Request>,
-    pub(super) next: u64,
+    pub(super) next_request: u64,
     pub(super) events: VecDeque<Event>,
-    pub(super) telling: bool,
+    pub(super) is_handling_event: bool,
     pub(super) actions: Vec<Action>,
-    pub(super) tally: Tally,
-    pub(super) figures: Figures,
-    /// Names of the tenants, as in [`Figures::tenants`]; none where the settings name none.
+    pub(super) summary_counts: SummaryCounts,
+    pub(super) figures: Metrics,
+    /// Names of the tenants, in the order of [`Figures::tenants`]; empty where the settings name none.
     pub(super) tenants: Vec<String>,
-    /// What is done at the loss of a site, where operators have a plan for it. What it does is carried out by
-    /// `crate::proxy::sites`.
+    /// The operators' plan for the loss of a site, if there is one. `crate::proxy::sites` carries out its
+    /// actions.
     pub sites: Option<Sites>,
-    /// Which requests go to other proxies, where operators have a file on that.
+    /// Decides which requests go to other proxies, where operators have a placement file.
     pub placing: Option<Placing>,
-    /// Time that an answer takes from one proxy to another, at most.
-    pub(super) hop: Micros,
-    /// By class.
+    /// The longest time that an answer takes from one proxy to another.
+    pub(super) forward_time: Micros,
+    /// Indexed by class.
     pub(super) effects: Vec<Effect>,
-    /// By class.
+    /// Indexed by class.
     pub(super) retry_after: Vec<Option<Micros>>,
-    /// What is asked of the server side, of discovery, and of the client side.
-    pub orders: VecDeque<Order>,
-    pub asks: VecDeque<Ask>,
+    /// Commands for the backend.
+    pub backend_commands: VecDeque<BackendCommand>,
+    /// Calls to discovery.
+    pub discovery_calls: VecDeque<DiscoveryCall>,
+    /// Answers for the frontend.
     pub answers: VecDeque<(RequestId, Answer)>,
 }
 
@@ -49,38 +52,39 @@
     pub fn new(settings: Settings, tenants: Vec<String>, seed: u64, now: Micros) -> Self {
         Exchange {
             tenants,
-            figures: Figures {
-                classes: vec![Count::default(); settings.classes.len()],
+            figures: Metrics {
+                classes: vec![OutcomeCounts::default(); settings.classes.len()],
                 tenants: vec![TenantCount::default(); settings.tenants.len() + 1],
-                ..Figures::default()
+                ..Metrics::default()
             },
-            slack: settings.rules.answer_slack,
+            answer_slack: settings.rules.answer_slack,
             limits: AttemptLimits {
-                attempts: settings.allowed.attempts,
-                // One at a time here, whatever the settings allow.
+                max_attempts: settings.allowed.max_attempts,
+                // This proxy never runs two attempts of a request at once, whatever the settings allow.
                 second_copies: false,
                 margin: settings.tick,
             },
             drain_grace: settings.rules.drain_grace,
             sites: None,
             placing: None,
-            hop: settings.tick,
+            forward_time: settings.tick,
             effects: settings.classes.iter().map(|c| c.effect).collect(),
-            retry_after: settings.classes.iter().map(|c| site_loss::back(&settings, c)).collect(),
+            retry_after: settings.classes.iter().map(|c| site_loss::retry_after(&settings, c)).collect(),
             balancer: Balancer::new(settings, seed, now),
             requests: BTreeMap::new(),
-            next: 0,
+            next_request: 0,
             events: VecDeque::new(),
-            telling: false,
+            is_handling_event: false,
             actions: Vec::new(),
-            tally: Tally::default(),
-            orders: VecDeque::new(),
-            asks: VecDeque::new(),
+            summary_counts: SummaryCounts::default(),
+            backend_commands: VecDeque::new(),
+            discovery_calls: VecDeque::new(),
             answers: VecDeque::new(),
         }
     }
 
-    /// When a refused request of this class may come again, where the settings allow to say so.
+    /// The time after which a refused request of this class may be sent again, where the settings allow
+    /// stating it.
     pub(super) fn retry_after(&self, class: ClassId) -> Option<Micros> {
         self.retry_after.get(class.0).copied().flatten()
     }
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the part named by the folder.
+//! Tests of the client side: eviction, closing, and the deadlines of requests and messages.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -6,71 +6,80 @@
 use leadmast::{GroupId, Micros, RequestId};
 
 use super::closing::CloseReason;
-use super::eviction::{eviction_rank, RECENT, SLOW_CLIENT};
+use super::eviction::{eviction_rank, FIRST_REQUEST_LIMIT, RECENT_ACTIVITY};
 use super::session::{Stage, CLOSE_STALL_TIMEOUT, LINGER};
 use super::Frontend;
-use crate::exchange::{Body, Call, Exchange, Final, Form};
+use crate::exchange::{AnswerForm, Body, Exchange, FinalAnswer, IncomingRequest};
 use crate::ids::SessionId;
-use crate::pg::{Writer, LONGEST_ANSWER};
-use crate::ring::LARGEST;
-use crate::turn::{Ready, Turn};
+use crate::pg::{Writer, MAX_BUFFERED_ANSWER};
+use crate::ring::MAX_RING_SIZE;
+use crate::turn::{ReadySources, Turn};
 
-/// Guards slow clients in a crowd: they may take 2 s over a request, and whoever has had an answer goes first.
+/// Slow clients are not evicted early when many clients are open: they may take 2 s to send a request, and
+/// clients that already had an answer are evicted first.
 #[test]
 fn idle_clients_make_room_before_slow_ones() {
-    let slow = eviction_rank(&Stage::Startup, false, false, SLOW_CLIENT - 1);
-    let half = eviction_rank(&Stage::Ready, false, false, SLOW_CLIENT - 1);
-    let served = eviction_rank(&Stage::Ready, true, true, RECENT);
-    let stuck = eviction_rank(&Stage::Startup, false, false, SLOW_CLIENT);
+    let slow = eviction_rank(&Stage::Startup, false, false, FIRST_REQUEST_LIMIT - 1);
+    let half = eviction_rank(&Stage::Ready, false, false, FIRST_REQUEST_LIMIT - 1);
+    let served = eviction_rank(&Stage::Ready, true, true, RECENT_ACTIVITY);
+    let stuck = eviction_rank(&Stage::Startup, false, false, FIRST_REQUEST_LIMIT);
     assert!(stuck < served && served < slow && slow == half && slow.is_some());
     let new = eviction_rank(&Stage::Startup, false, true, 0);
     assert!(
         slow < new && new < eviction_rank(&Stage::Ready, false, true, 0),
-        "what came just now may ask yet"
+        "a client that connected just now may still send a request"
     );
-    assert_eq!(eviction_rank(&Stage::Ready, true, false, SLOW_CLIENT), None, "a request may be unread");
-    assert_eq!(eviction_rank(&Stage::Waiting(RequestId(0)), true, true, SLOW_CLIENT), None);
+    assert_eq!(
+        eviction_rank(&Stage::Ready, true, false, FIRST_REQUEST_LIMIT),
+        None,
+        "its request may be unread"
+    );
+    assert_eq!(eviction_rank(&Stage::Waiting(RequestId(0)), true, true, FIRST_REQUEST_LIMIT), None);
 }
 
-/// Guards the last answer of a client that is being closed: while it is unwritten its connection makes no room.
+/// A closing client is not evicted while its last answer is unwritten, so that the answer is not lost.
 #[test]
 fn closing_client_makes_room_once_it_has_its_last_answer() {
-    assert_eq!(eviction_rank(&Stage::Closing, true, false, SLOW_CLIENT), None);
+    assert_eq!(eviction_rank(&Stage::Closing, true, false, FIRST_REQUEST_LIMIT), None);
     assert_eq!(eviction_rank(&Stage::Lingering, true, true, 0), Some(0));
 }
 
-/// A client side with one client on a real connection, and a clock that the test sets.
-fn one_client() -> (Frontend, Turn, TcpStream, SessionId, calloop::EventLoop<'static, Ready>) {
-    let poll = calloop::EventLoop::<Ready>::try_new().expect("a poll");
+/// Sets up a client side with one client on a real connection; the test sets the clock.
+fn frontend_with_one_client(
+) -> (Frontend, Turn, TcpStream, SessionId, calloop::EventLoop<'static, ReadySources>) {
+    let poll = calloop::EventLoop::<ReadySources>::try_new().expect("a poll");
     let mut turn = Turn::new(poll.handle(), slog::Logger::root(slog::Discard, slog::o!()));
     turn.now = 0;
-    let config = std::fs::read_to_string("../../examples/config.json").expect("the example");
+    let config = std::fs::read_to_string("../../examples/config.json").expect("the example file is readable");
     let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
     let facts = leadmast::settings::read(&config["settings"]).expect("settings");
     let mut frontend = Frontend::new(facts.settings, facts.names);
-    frontend.limit(&mut turn, 10, 1 << 20);
+    frontend.set_limits(&mut turn, 10, 1 << 20);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("it listens");
-    let (socket, _) = listener.accept().expect("it has connected");
-    frontend.accept_session(&mut turn, socket, gradeshunt_placement::Source::Client).expect("it is accepted");
+    let client = TcpStream::connect(listener.local_addr().expect("an address"))
+        .expect("the listener accepts connections");
+    let (socket, _) = listener.accept().expect("the client has connected");
+    frontend
+        .accept_session(&mut turn, socket, gradeshunt_placement::Source::Client)
+        .expect("the session is accepted");
     let id = *frontend.sessions.first_key_value().expect("a session").0;
     (frontend, turn, client, id, poll)
 }
 
-/// Guards the tail of a last answer: a client that reads slowly has it for as long as bytes move, and one that reads
-/// nothing any more is closed in the end.
+/// A closing client that reads slowly gets its whole last answer, because each progress extends the deadline;
+/// one that stops reading is closed at the deadline.
 #[test]
-fn slow_client_gets_the_whole_of_its_last_answer() {
-    let (mut frontend, mut turn, mut client, id, _poll) = one_client();
-    // The system holds little for them, so that it takes many rounds.
+fn slow_client_gets_its_whole_last_answer() {
+    let (mut frontend, mut turn, mut client, id, _poll) = frontend_with_one_client();
+    // Small socket buffers, so that the answer takes many rounds.
     let socket = &frontend.sessions[&id].polled.socket;
-    socket2::SockRef::from(&**socket).set_send_buffer_size(32 * 1024).expect("it can be set");
-    socket2::SockRef::from(&client).set_recv_buffer_size(32 * 1024).expect("it can be set");
+    socket2::SockRef::from(&**socket).set_send_buffer_size(32 * 1024).expect("the buffer size can be set");
+    socket2::SockRef::from(&client).set_recv_buffer_size(32 * 1024).expect("the buffer size can be set");
     let mut sent = 0;
-    while frontend.sessions[&id].outbound.len() <= LARGEST / 2 {
-        let s = frontend.sessions.get_mut(&id).expect("it is open");
-        assert!(s.outbound.push(&[b'x'; LONGEST_ANSWER]));
-        sent += LONGEST_ANSWER;
+    while frontend.sessions[&id].outbound.len() <= MAX_RING_SIZE / 2 {
+        let s = frontend.sessions.get_mut(&id).expect("the connection is open");
+        assert!(s.outbound.push(&[b'x'; MAX_BUFFERED_ANSWER]));
+        sent += MAX_BUFFERED_ANSWER;
         frontend.flush(&mut turn, id);
     }
     frontend.close_with(&mut turn, id, Writer::default(), CloseReason::Idle);
@@ -79,130 +88,133 @@
     let mut rounds = 0;
     while !frontend.sessions[&id].outbound.is_empty() {
         rounds += 1;
-        // Just before its time is over some of it moves.
+        // Some bytes are read just before the deadline.
         turn.now += CLOSE_STALL_TIMEOUT - 1;
         frontend.session_due(&mut turn, id);
         let before = frontend.sessions[&id].outbound.len();
         while frontend.sessions[&id].outbound.len() == before {
-            read += client.read(&mut piece).expect("it is open");
+            read += client.read(&mut piece).expect("the connection is open");
             frontend.flush(&mut turn, id);
         }
     }
-    assert!(rounds > 1, "it took more than its time");
+    assert!(rounds > 1, "the answer took longer than one deadline");
     turn.now += LINGER - 1;
     frontend.session_due(&mut turn, id);
     while read < sent {
-        read += client.read(&mut piece).expect("it is open");
+        read += client.read(&mut piece).expect("the connection is open");
     }
-    assert_eq!((read, client.read(&mut piece).expect("an end, and no reset")), (sent, 0));
+    assert_eq!((read, client.read(&mut piece).expect("the end of the stream, not a reset")), (sent, 0));
 
-    let (mut frontend, mut turn, _client, id, _poll) = one_client();
+    let (mut frontend, mut turn, _client, id, _poll) = frontend_with_one_client();
     while frontend.sessions[&id].outbound.is_empty() {
-        let s = frontend.sessions.get_mut(&id).expect("it is open");
-        assert!(s.outbound.push(&[b'x'; LONGEST_ANSWER]));
+        let s = frontend.sessions.get_mut(&id).expect("the connection is open");
+        assert!(s.outbound.push(&[b'x'; MAX_BUFFERED_ANSWER]));
         frontend.flush(&mut turn, id);
     }
     frontend.close_with(&mut turn, id, Writer::default(), CloseReason::Idle);
-    turn.now = frontend.sessions[&id].due.expect("it has a deadline");
+    turn.now = frontend.sessions[&id].due.expect("the session has a deadline");
     frontend.session_due(&mut turn, id);
-    assert!(frontend.sessions.is_empty(), "no byte has moved");
+    assert!(frontend.sessions.is_empty(), "a client that reads nothing is closed");
 }
 
-/// Guards the loop: a client that is closed and rests, as many do, is no work while it is waited for. Each shutdown wakes
-/// the poll, so that one a turn would turn for ever.
+/// A lingering session causes no wakeups. Each shutdown of a socket wakes the poll, so a session that shuts
+/// down its socket in every turn would keep the loop busy for ever.
 #[test]
 fn closed_client_that_rests_wakes_nobody() {
-    let (mut frontend, mut turn, mut client, id, mut poll) = one_client();
+    let (mut frontend, mut turn, mut client, id, mut poll) = frontend_with_one_client();
     let mut exchange = Exchange::new(frontend.settings.clone(), Vec::new(), 7, 0);
     frontend.close_with(&mut turn, id, Writer::default(), CloseReason::Idle);
     assert_eq!(client.read(&mut [0]).expect("a close"), 0);
     let mut woken = 0;
     loop {
-        let mut ready = Ready::new();
-        poll.dispatch(Some(std::time::Duration::ZERO), &mut ready).expect("it polls");
+        let mut ready = ReadySources::new();
+        poll.dispatch(Some(std::time::Duration::ZERO), &mut ready).expect("the poll works");
         if ready.is_empty() {
             break;
         }
         woken += 1;
-        assert!(woken < 10, "it wakes itself");
+        assert!(woken < 10, "the session wakes itself");
         frontend.ready(&mut turn, &mut exchange, id);
     }
     assert!(matches!(frontend.sessions[&id].stage, Stage::Lingering));
     drop(client);
-    let mut ready = Ready::new();
-    poll.dispatch(None, &mut ready).expect("it polls");
+    let mut ready = ReadySources::new();
+    poll.dispatch(None, &mut ready).expect("the poll works");
     frontend.ready(&mut turn, &mut exchange, id);
-    assert!(frontend.sessions.is_empty(), "it has closed too");
+    assert!(frontend.sessions.is_empty(), "the session closes after the client");
 }
 
-/// Guards requests that cross the close of a drained or idle connection: what is read and not answered is lost.
+/// A request that crosses the close of a drained or idle connection is not read: a request that is read and
+/// not answered is lost, an unread one the client may send again.
 #[test]
 fn request_that_crosses_a_close_is_not_read() {
     for reason in [CloseReason::Draining, CloseReason::Idle] {
-        let (mut frontend, mut turn, mut client, id, _poll) = one_client();
+        let (mut frontend, mut turn, mut client, id, _poll) = frontend_with_one_client();
         let mut exchange = Exchange::new(frontend.settings.clone(), Vec::new(), 7, 0);
         frontend.close_with(&mut turn, id, Writer::default(), reason);
         assert_eq!(client.read(&mut [0]).expect("a close"), 0);
-        client.write_all(&read_of(1, 1_000)).expect("it is half open");
+        client.write_all(&read_query(1, 1_000)).expect("the connection is still open for writing");
         while frontend.sessions[&id].polled.is_quiet() {}
         frontend.ready(&mut turn, &mut exchange, id);
-        assert!(!frontend.sessions[&id].polled.is_quiet(), "it was read");
+        assert!(!frontend.sessions[&id].polled.is_quiet(), "the request was read");
         drop(client);
         while !frontend.sessions[&id].polled.has_hung_up() {}
         frontend.ready(&mut turn, &mut exchange, id);
-        assert!(frontend.sessions.is_empty(), "it has closed too");
+        assert!(frontend.sessions.is_empty(), "the session closes after the client");
     }
 }
 
-/// A query of `wait_ms`, as its bytes.
-fn read_of(number: usize, wait_ms: u32) -> Vec<u8> {
+/// The bytes of a read query that waits `wait_ms` at most.
+fn read_query(number: usize, wait_ms: u32) -> Vec<u8> {
     let statement = format!(
         "/* id={number},c=page-read,d={wait_ms},cluster=1 */ SELECT data FROM facts WHERE code = '{number:x}'"
     );
     Writer::default().query(&[statement.as_bytes()]).0
 }
 
-/// A client whose first request is out, so that all that it sends next waits for its turn.
+/// A client whose first request is in progress, so that everything it sends next queues behind that request.
 struct Pipeline {
     frontend: Frontend,
     turn: Turn,
     exchange: Exchange,
     client: TcpStream,
     id: SessionId,
-    _poll: calloop::EventLoop<'static, Ready>,
+    _poll: calloop::EventLoop<'static, ReadySources>,
 }
 
 impl Pipeline {
     fn begin() -> Pipeline {
-        let (frontend, turn, client, id, poll) = one_client();
+        let (frontend, turn, client, id, poll) = frontend_with_one_client();
         let exchange = Exchange::new(frontend.settings.clone(), Vec::new(), 7, 0);
         let mut pipeline = Pipeline { frontend, turn, exchange, client, id, _poll: poll };
         pipeline.send(0, &Writer::default().startup("portal", "crm", None).0);
-        pipeline.send(0, &read_of(0, 1_200));
+        pipeline.send(0, &read_query(0, 1_200));
         assert!(matches!(pipeline.frontend.sessions[&id].stage, Stage::Waiting(RequestId(0))));
         pipeline
     }
 
-    /// Sends bytes, which the client side finds at `at`.
+    /// Sends bytes, which the client side reads at time `at`.
     fn send(&mut self, at: Micros, bytes: &[u8]) {
         use std::io::Write;
         self.turn.now = at;
-        self.client.write_all(bytes).expect("it is open");
+        self.client.write_all(bytes).expect("the connection is open");
         while self.frontend.sessions[&self.id].polled.is_quiet() {}
         self.frontend.ready(&mut self.turn, &mut self.exchange, self.id);
     }
 
-    /// The first request is answered at `at`, and what stands behind it gets its turns. How many of those had no time left.
-    fn expired(&mut self, at: Micros) -> u64 {
+    /// Answers the first request at `at` and processes the requests behind it. Returns how many of those had
+    /// expired.
+    fn count_expired(&mut self, at: Micros) -> u64 {
         self.turn.now = at;
-        self.frontend.answer(&mut self.turn, &mut self.exchange, RequestId(0), Final::Failed(None));
+        self.frontend.answer(&mut self.turn, &mut self.exchange, RequestId(0), FinalAnswer::Failed(None));
         loop {
             if let Some((request, answer)) = self.exchange.answers.pop_front() {
                 let crate::exchange::Answer::Final(last) = answer else { panic!("a part of an answer") };
-                // No db host is known: the module refuses what has little time left, too.
-                assert!(matches!(last, Final::Refused { .. }), "{last:?}");
+                // No db host is known, so the decision module refuses requests, also those with little time
+                // left.
+                assert!(matches!(last, FinalAnswer::Refused { .. }), "{last:?}");
                 self.frontend.answer(&mut self.turn, &mut self.exchange, request, last);
-            } else if self.turn.again.pop().is_some() {
+            } else if self.turn.unfinished.pop().is_some() {
                 self.frontend.ready(&mut self.turn, &mut self.exchange, self.id);
             } else {
                 return self.exchange.figures().expired_unsent;
@@ -211,44 +223,46 @@
     }
 }
 
-/// How many of the requests that `prepare` sends have no time left where the one before them is answered at `at`.
-fn expired_at(at: Micros, prepare: impl Fn(&mut Pipeline)) -> u64 {
+/// Returns how many of the requests that `prepare` sends have expired if the request before them is answered
+/// at `at`.
+fn count_expired_at(at: Micros, prepare: impl Fn(&mut Pipeline)) -> u64 {
     let mut pipeline = Pipeline::begin();
     prepare(&mut pipeline);
-    pipeline.expired(at)
+    pipeline.count_expired(at)
 }
 
-/// Guards the wait of a request that comes in pieces: it counts from its last byte.
+/// The wait of a request that arrives in pieces counts from its last byte.
 #[test]
 fn wait_counts_from_the_last_byte() {
     let pieces = |pipeline: &mut Pipeline| {
-        let bytes = read_of(1, 100);
+        let bytes = read_query(1, 100);
         let (first, last) = bytes.split_at(30);
         pipeline.send(10_000, first);
         pipeline.send(50_000, last);
     };
-    assert_eq!(expired_at(149_999, pieces), 0);
-    assert_eq!(expired_at(150_000, pieces), 1);
+    assert_eq!(count_expired_at(149_999, pieces), 0);
+    assert_eq!(count_expired_at(150_000, pieces), 1);
 }
 
-/// Guards a pipeline: requests that came in one read, and then stood behind one that took long, have no time left.
+/// Pipelined requests that arrive in one read expire while they queue behind a request that takes long.
 #[test]
-fn pipeline_of_ten_behind_a_long_request_is_over_with_its_wait() {
+fn pipelined_requests_expire_behind_a_long_request() {
     let ten = |pipeline: &mut Pipeline| {
-        let bytes: Vec<u8> = (1..=10).flat_map(|number| read_of(number, 100)).collect();
+        let bytes: Vec<u8> = (1..=10).flat_map(|number| read_query(number, 100)).collect();
         pipeline.send(10_000, &bytes);
     };
-    assert_eq!(expired_at(109_999, ten), 0);
-    assert_eq!(expired_at(110_000, ten), 10);
+    assert_eq!(count_expired_at(109_999, ten), 0);
+    assert_eq!(count_expired_at(110_000, ten), 10);
 }
 
-/// Guards a request that stood in the socket while the client's ring was full: its wait counts from when it came there.
+/// The wait of a request that stayed in the socket while the client's ring was full counts from its arrival
+/// there.
 #[test]
 fn wait_counts_while_the_ring_is_full() {
     let behind_a_full_ring = |pipeline: &mut Pipeline| {
-        // Answered on the spot, once it is their turn.
+        // The proxy answers these statements itself, once the request before them is answered.
         let mut filler = b"SET a TO b".to_vec();
-        filler.resize(LARGEST / 4 - 6, b' ');
+        filler.resize(MAX_RING_SIZE / 4 - 6, b' ');
         let filler = Writer::default().query(&[&filler]).0;
         for _ in 0..4 {
             for piece in filler.chunks(4096) {
@@ -256,45 +270,45 @@
             }
         }
         assert!(pipeline.frontend.sessions[&pipeline.id].inbound.is_full());
-        pipeline.send(50_000, &read_of(1, 100));
+        pipeline.send(50_000, &read_query(1, 100));
     };
-    assert_eq!(expired_at(149_999, behind_a_full_ring), 0);
-    assert_eq!(expired_at(150_000, behind_a_full_ring), 1);
+    assert_eq!(count_expired_at(149_999, behind_a_full_ring), 0);
+    assert_eq!(count_expired_at(150_000, behind_a_full_ring), 1);
 }
 
-/// Guards the end of the process: no request is held beyond the drain deadline, and one that comes later is refused at once.
+/// No request is held beyond the drain deadline, and one that arrives later is refused at once.
 #[test]
 fn drain_deadline_bounds_the_wait() {
     let before = |pipeline: &mut Pipeline| {
         pipeline.frontend.set_drain_deadline(100_000);
-        pipeline.send(50_000, &read_of(1, 1_000));
+        pipeline.send(50_000, &read_query(1, 1_000));
     };
-    assert_eq!(expired_at(99_999, before), 0);
-    assert_eq!(expired_at(100_000, before), 1);
+    assert_eq!(count_expired_at(99_999, before), 0);
+    assert_eq!(count_expired_at(100_000, before), 1);
     let after = |pipeline: &mut Pipeline| {
         pipeline.frontend.set_drain_deadline(100_000);
-        pipeline.send(120_000, &read_of(1, 1_000));
+        pipeline.send(120_000, &read_query(1, 1_000));
     };
-    assert_eq!(expired_at(120_001, after), 1);
+    assert_eq!(count_expired_at(120_001, after), 1);
 }
 
-/// Guards a pipeline whose client has left: none of it is taken up.
+/// Pipelined requests of a client that has disconnected are dropped unprocessed.
 #[test]
 fn pipeline_of_a_client_that_left_is_dropped() {
     let mut pipeline = Pipeline::begin();
-    pipeline.send(10_000, &read_of(1, 100));
-    pipeline.client.shutdown(Shutdown::Both).expect("it is open");
+    pipeline.send(10_000, &read_query(1, 100));
+    pipeline.client.shutdown(Shutdown::Both).expect("the connection is open");
     while !pipeline.frontend.sessions[&pipeline.id].polled.has_hung_up() {}
     pipeline.frontend.ready(&mut pipeline.turn, &mut pipeline.exchange, pipeline.id);
     assert!(pipeline.frontend.sessions.is_empty() && pipeline.frontend.owners.is_empty());
     assert!(pipeline.exchange.is_idle() && pipeline.exchange.answers.is_empty());
-    let next = pipeline.exchange.submit(&mut pipeline.turn, call_of(10_000));
-    assert_eq!(next, RequestId(1), "the second request was never taken up");
+    let next = pipeline.exchange.submit(&mut pipeline.turn, call_with_deadline(10_000));
+    assert_eq!(next, RequestId(1), "the second request was never submitted");
 }
 
 /// A request whose wait ends at `deadline`.
-fn call_of(deadline: Micros) -> Call {
-    Call {
+fn call_with_deadline(deadline: Micros) -> IncomingRequest {
+    IncomingRequest {
         class: leadmast::ClassId(0),
         group: GroupId(1),
         key: None,
@@ -304,18 +318,18 @@
         checked: true,
         tenant: None,
         source: gradeshunt_placement::Source::Client,
-        body: Body::new(Vec::new(), None, Form::Value),
+        body: Body::new(Vec::new(), None, AnswerForm::Value),
     }
 }
 
-/// Guards a client that stops amid a request and stays, behind one of its own that is out: what it is owed counts from when it
-/// stopped, not from the answer before.
+/// A client that stops in the middle of a message, sent behind a request in progress, is closed after the
+/// message timeout from the message's first byte, not from the answer to the request before it.
 #[test]
-fn half_a_request_behind_another_is_bounded_from_its_first_byte() {
+fn incomplete_message_is_bounded_from_its_first_byte() {
     const STOPPED: Micros = 10_000;
     let mut pipeline = Pipeline::begin();
-    pipeline.send(STOPPED, &read_of(1, 1_000)[..30]);
-    pipeline.expired(1_100_000);
-    let due = pipeline.frontend.sessions[&pipeline.id].due.expect("it has a deadline");
+    pipeline.send(STOPPED, &read_query(1, 1_000)[..30]);
+    pipeline.count_expired(1_100_000);
+    let due = pipeline.frontend.sessions[&pipeline.id].due.expect("the session has a deadline");
     assert_eq!(due, STOPPED + super::session::MESSAGE_TIMEOUT);
 }
--- a/crates/gradeshunt/src/lib.rs
+++ b/crates/gradeshunt/src/lib.rs
@@ -1,7 +1,8 @@
-//! gradeshunt: a proxy for replicated PostgreSQL. The module `leadmast` decides; this program is its sockets.
+//! gradeshunt: a proxy for replicated PostgreSQL. The library `leadmast` makes the decisions; this crate does
+//! the I/O.
 //!
-//! A library so that measurements can run the parts that a proxy spends on control, without its sockets. What is public
-//! serves those measurements and the program's `main`; it is no interface for anybody else.
+//! It is a library so that measurements can run a proxy's control work without its sockets. The public items
+//! serve those measurements and the program's `main` only; they are not a stable interface.
 
 mod accept_failure;
 mod backend;
@@ -43,7 +44,7 @@
 pub use cli::Arguments;
 pub use config::{Config, ConfigError};
 pub use control_core::{Core, List, Step};
-pub use cycle::{Cycle, Parts};
-pub use deadlines::Due;
+pub use cycle::{Handlers, ProxyLoop};
+pub use deadlines::DeadlineKind;
 pub use run::run;
-pub use turn::Source;
+pub use turn::EventSource;
--- a/crates/gradeshunt/src/turn.rs
+++ b/crates/gradeshunt/src/turn.rs
@@ -1,4 +1,5 @@
-//! What every part of the proxy shares during one turn of the loop: the time, the deadlines, the poll, the log.
+//! The context that all parts of the proxy share during one turn of the event loop: time, deadlines, poll and
+//! log.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,11 +15,11 @@
 use crate::clock::Clock;
 use crate::deadlines::Deadlines;
 use crate::ids::{CallId, CallerId, ServerId, SessionId};
-use crate::ring::made_again;
+use crate::ring::retry_interrupted;
 
-/// What has become ready.
+/// An event source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum EventSource {
     /// The clients' listening socket.
     Listener,
     /// The socket at which other proxies connect.
@@ -33,63 +34,70 @@
     Control,
     /// An operator's connection.
     Caller(CallerId),
-    /// SIGTERM has come.
+    /// SIGTERM arrived.
     Terminate,
-    /// SIGHUP has come.
+    /// SIGHUP arrived.
     Reload,
-    /// File work is done.
-    Files,
+    /// A background file operation is done.
+    FileTask,
 }
 
-impl Source {
-    /// Its name in the log and the figures.
+impl EventSource {
+    /// The kind of source, as the log and the metrics name it.
     pub fn name(self) -> &'static str {
         match self {
-            Source::Listener | Source::PeerListener => "listener",
-            Source::Session(_) => "client",
-            Source::Server(_) => "db host",
-            Source::Call(_) => "discovery",
-            Source::Control | Source::Caller(_) => "operators",
-            Source::Terminate | Source::Reload => "signal",
-            Source::Files => "files",
+            EventSource::Listener | EventSource::PeerListener => "listener",
+            EventSource::Session(_) => "client",
+            EventSource::Server(_) => "db host",
+            EventSource::Call(_) => "discovery",
+            EventSource::Control | EventSource::Caller(_) => "operators",
+            EventSource::Terminate | EventSource::Reload => "signal",
+            EventSource::FileTask => "files",
         }
     }
 }
 
-/// What the loop's callbacks collect; the turn works it off afterwards, so that nothing is re-entered.
-pub type Ready = Vec<Source>;
+/// The ready sources that the poll's callbacks collect. The turn processes them afterwards, so that no part
+/// is re-entered.
+pub type ReadySources = Vec<EventSource>;
 
-/// One turn's surroundings.
+/// The shared context of a turn.
 pub struct Turn {
+    /// The time at which the source or deadline in progress started.
     pub now: Micros,
-    /// How long what is read in this turn may have stood unread, while the loop was busy or had no CPU.
-    pub unread: Micros,
+    /// How long bytes that are read now may have been waiting in the socket while the loop was busy or had no
+    /// CPU.
+    pub unread_for: Micros,
     pub clock: Clock,
     pub deadlines: Deadlines,
     pub log: Logger,
-    /// Sources that had more to do than a turn gives them: they come first in the next one.
-    pub again: Vec<Source>,
-    handle: LoopHandle<'static, Ready>,
+    /// Sources with more work than one turn allows; they are processed first in the next turn.
+    pub unfinished: Vec<EventSource>,
+    handle: LoopHandle<'static, ReadySources>,
 }
 
 impl Turn {
-    pub fn new(handle: LoopHandle<'static, Ready>, log: Logger) -> Self {
+    pub fn new(handle: LoopHandle<'static, ReadySources>, log: Logger) -> Self {
         let clock = Clock::start();
         Turn {
             now: clock.now(),
-            unread: 0,
+            unread_for: 0,
             clock,
             deadlines: Deadlines::default(),
             log,
-            again: Vec::new(),
+            unfinished: Vec::new(),
             handle,
         }
     }
 
-    /// Polls a socket, edge-triggered: whoever is told has to go on until the socket would block.
-    fn watch<S: AsFd + 'static>(&self, socket: &Rc<S>, source: Source) -> std::io::Result<RegistrationToken> {
+    /// Registers a socket with the poll, edge-triggered: a part must use a ready socket until it would block.
+    fn register<S: AsFd + 'static>(
+        &self,
+        socket: &Rc<S>,
+        source: EventSource,
+    ) -> std::io::Result<RegistrationToken> {
         let watched = Generic::new(Rc::clone(socket), Interest::BOTH, Mode::Edge);
-        let token = self.handle.insert_source(watched, move |_, _, ready: &mut Ready| {
+        let token = self.handle.insert_source(watched, move |_, _, ready: &mut ReadySources| {
             ready.push(source);
             Ok(PostAction::Continue)
         });
@@ -97,8 +105,8 @@
     }
 }
 
-/// A socket that listens at an address.
-pub fn listener(addr: SocketAddr) -> std::io::Result<TcpListener> {
+/// Opens a listening socket at an address.
+pub fn listening_socket(addr: SocketAddr) -> std::io::Result<TcpListener> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -108,9 +116,9 @@
     Ok(socket.into())
 }
 
-/// A socket that is bound to an address and does not listen yet: whoever connects is refused. Another process of the same
-/// proxy may hold the address as well, during an upgrade.
-pub fn bound(addr: SocketAddr) -> std::io::Result<socket2::Socket> {
+/// Binds a socket to an address without listening, so that connections are refused. During an upgrade another
+/// process of the same proxy may be bound to the address as well.
+pub fn bound_socket(addr: SocketAddr) -> std::io::Result<socket2::Socket> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -120,9 +128,9 @@
     Ok(socket)
 }
 
-/// A listening socket that the platform holds and this process has inherited. A descriptor by its number alone is
-/// nobody's, so safe code can't take it: this asks the system for another one of the same socket.
-pub fn inherited(fd: i32) -> std::io::Result<TcpListener> {
+/// Returns a listening socket that this process inherited from the platform. Safe code can't take ownership
+/// of a descriptor by its number, so this asks the system for a duplicate.
+pub fn inherited_listener(fd: i32) -> std::io::Result<TcpListener> {
     use rustix::process::{getpid, pidfd_getfd, pidfd_open, PidfdFlags, PidfdGetfdFlags};
     let own = pidfd_open(getpid(), PidfdFlags::empty())?;
     let listener = TcpListener::from(pidfd_getfd(own, fd, PidfdGetfdFlags::empty())?);
@@ -130,16 +138,16 @@
     Ok(listener)
 }
 
-/// A socket that the loop polls, until [`Polled::close`].
+/// A socket that is registered with the poll until [`Polled::close`].
 pub struct Polled<S = TcpStream> {
     pub socket: Rc<S>,
     token: RegistrationToken,
 }
 
 impl<S: AsFd + 'static> Polled<S> {
-    pub fn new(turn: &Turn, socket: S, source: Source) -> std::io::Result<Self> {
+    pub fn new(turn: &Turn, socket: S, source: EventSource) -> std::io::Result<Self> {
         let socket = Rc::new(socket);
-        let token = turn.watch(&socket, source)?;
+        let token = turn.register(&socket, source)?;
         Ok(Polled { socket, token })
     }
 
@@ -149,15 +157,15 @@
 }
 
 impl Polled {
-    /// Whether nothing stands unread: no bytes, no end, no error.
+    /// Whether nothing is unread: no bytes, no end of stream, no error.
     pub fn is_quiet(&self) -> bool {
-        let peeked = made_again(|| self.socket.peek(&mut [0]));
+        let peeked = retry_interrupted(|| self.socket.peek(&mut [0]));
         matches!(peeked, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Whether the system holds bytes that it has not sent yet, as far as it can tell: it then takes no more once it is asked to hold
-    /// nothing unsent. Where it can't be asked, it passes for holding none.
-    pub fn holds_unsent(&self) -> bool {
+    /// Whether the system holds bytes that it has not sent yet: with the low-water mark at its minimum the
+    /// socket is then not writable. Returns false if the mark can't be set.
+    pub fn has_unsent_bytes(&self) -> bool {
         use rustix::event::{poll, PollFd, PollFlags};
         use rustix::io::retry_on_intr;
         let socket = socket2::SockRef::from(&*self.socket);
@@ -171,7 +179,8 @@
         writable == Ok(0)
     }
 
-    /// Whether the peer has ended its sending, or the connection is broken, whatever stands unread before that.
+    /// Whether the peer has shut down its sending side or the connection is broken, even if bytes before that
+    /// are unread.
     pub fn has_hung_up(&self) -> bool {
         use rustix::event::{poll, PollFd, PollFlags};
         use rustix::io::retry_on_intr;
@@ -182,26 +191,27 @@
         polled.is_ok_and(|n| n > 0) && fds[0].revents().intersects(ended)
     }
 
-    /// Closes the connection with a reset: what the system holds of it is not delivered any more, as it would be after a close.
+    /// Closes the connection with a reset, so that the system discards unsent bytes instead of delivering
+    /// them.
     pub fn abort(self, turn: &Turn) {
-        // Where the system can't, it is a close like any other.
+        // If the option can't be set, this is an ordinary close.
         let _ = socket2::SockRef::from(&*self.socket).set_linger(Some(Duration::ZERO));
         self.close(turn);
     }
 
-    /// Bounds what the system holds of what is written, where it can.
-    pub fn hold_little(&self, bytes: usize) {
+    /// Sets the size of the socket's send buffer, if the system allows it.
+    pub fn limit_send_buffer(&self, bytes: usize) {
         let _ = socket2::SockRef::from(&*self.socket).set_send_buffer_size(bytes);
     }
 
-    /// Starts a connection that comes up later.
-    pub fn connect(turn: &Turn, to: SocketAddr, source: Source) -> std::io::Result<Self> {
+    /// Starts a non-blocking connect; the poll reports when the connection is established.
+    pub fn connect(turn: &Turn, to: SocketAddr, source: EventSource) -> std::io::Result<Self> {
         use socket2::{Domain, Protocol, Socket, Type};
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
         match socket.connect(&to.into()) {
-            // An interrupted call leaves the connection coming up, like one that does not wait for it.
+            // After an interrupted call the connect continues, as after EINPROGRESS.
             Err(e) if e.raw_os_error() != Some(EINPROGRESS) && e.kind() != ErrorKind::Interrupted => {
                 return Err(e)
             }
@@ -211,9 +221,9 @@
     }
 }
 
-/// Values of TCP_NOTSENT_LOWAT: writable only once nothing is unsent, and as the system has it.
+/// Values of TCP_NOTSENT_LOWAT: writable only if nothing is unsent, and the system's default.
 const NOTHING_UNSENT: u32 = 1;
 const SYSTEM_DEFAULT: u32 = 0;
 
-/// Linux's number for a connection under way, which the standard library gives no stable name.
+/// The error number on Linux for a connect in progress; the standard library has no stable name for it.
 const EINPROGRESS: i32 = 115;
--- a/crates/gradeshunt/tests/config.rs
+++ b/crates/gradeshunt/tests/config.rs
@@ -22,8 +22,12 @@
             good.replace("\"fleetSize\": 1", "\"fleetSize\": -3"),
             "fleetSize is not a whole number",
         ),
-        ("beyond-fleet", good.replace("\"me\": 0", "\"me\": 1"), "me is 1, of proxies 0 to 0"),
-        ("odd-tenant", shared.replace("60.0", "-1.0"), "quotaRps of \"north\" is -1, and no rate"),
+        (
+            "beyond-fleet",
+            good.replace("\"me\": 0", "\"me\": 1"),
+            "me is 1, but must be below facts.fleetSize (1)",
+        ),
+        ("odd-tenant", shared.replace("60.0", "-1.0"), "quotaRps of \"north\" is -1, but must be 0 or more"),
         ("twice-a-tenant", shared.replace("south", "north"), "names \"north\" twice"),
         ("no-worth", shared.replace("overShareWorth", "overWorth"), "overShareWorth is missing"),
         (
@@ -93,7 +97,7 @@
     std::fs::write(&file, good).expect("the file can be written");
     let bad_environment = [
         ("ROUTER_CONTROL", "localhost", "ROUTER_CONTROL is not an address"),
-        ("ROUTER_LISTEN_FD", "seven", "ROUTER_LISTEN_FD is no descriptor"),
+        ("ROUTER_LISTEN_FD", "seven", "ROUTER_LISTEN_FD is not a descriptor"),
         ("ROUTER_LISTEN_FD", "1000000", "cannot listen on descriptor 1000000"),
     ];
     for (name, value, complaint) in bad_environment {
--- a/crates/gradeshunt/tests/plain.rs
+++ b/crates/gradeshunt/tests/plain.rs
@@ -1,4 +1,5 @@
-//! Plain SQL through the program: where it goes, and that all that comes of it comes back.
+//! Plain statements (without a routing comment) through the program: which db host runs them, and that their
+//! results arrive whole.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -14,21 +15,21 @@
 functions { reading: "turnout" }
 "#;
 
-struct Stage {
+struct Setup {
     site: Site,
     process: Process,
     platform: Platform,
     folder: PathBuf,
 }
 
-impl Drop for Stage {
+impl Drop for Setup {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Stage {
-    fn open(name: &str, rules: Option<&str>) -> Stage {
+impl Setup {
+    fn open(name: &str, rules: Option<&str>) -> Setup {
         let site = Site::open(Plan::default()).expect("a site");
         let folder =
             Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("plain-{name}-{}", std::process::id()));
@@ -40,23 +41,24 @@
             std::fs::write(&file, rules).expect("a file");
             platform.environment.push(("ROUTER_RULES".to_owned(), file.display().to_string()));
         }
-        let process = platform.start().expect("it starts");
-        process.ready().expect("it serves");
-        Stage { site, process, platform, folder }
+        let process = platform.start().expect("the process starts");
+        process.ready().expect("the process serves");
+        Setup { site, process, platform, folder }
     }
 
     fn client(&self) -> Client {
-        let listen = self.process.listen.expect("it tells where");
+        let listen = self.process.listen.expect("the process logs its address");
         let identity = [("user", "reporter"), ("database", "results"), ("application_name", "page")];
-        Client::connect(listen, &identity, Duration::from_secs(60)).expect("its session starts")
+        Client::connect(listen, &identity, Duration::from_secs(60)).expect("the session starts")
     }
 
-    /// Numbers of the db hosts that have run a statement that holds this.
+    /// Numbers of the db hosts that ran a statement containing this text.
     fn ran(&self, holds: &str) -> Vec<usize> {
         self.site.sets[0].ran().iter().filter(|r| r.request.contains(holds)).map(|r| r.host).collect()
     }
 
-    fn everywhere(&self, rule: &Rule) {
+    /// Adds a rule to the scripts of all db hosts.
+    fn script_all_hosts(&self, rule: &Rule) {
         (0..3).for_each(|n| self.site.sets[0].script(n, rule.clone()));
     }
 }
@@ -65,10 +67,11 @@
     client.query(statement).expect("an answer")
 }
 
-/// Guards data: what may write reaches the primary alone, wherever the call stands; reads go to replicas, unchanged.
+/// Statements that may write reach only the primary, wherever in the statement the write is. Reads go to
+/// replicas unchanged.
 #[test]
-fn writes_reach_the_primary_alone() {
-    let stage = Stage::open("writes", Some(RULES));
+fn writes_reach_only_the_primary() {
+    let stage = Setup::open("writes", Some(RULES));
     let mut client = stage.client();
     let writes = [
         "SELECT record_vote(1)",
@@ -84,7 +87,7 @@
     }
     let reads = ["SELECT turnout(7) FROM t  /* as it is */", "select 'DELETE' , 8"];
     for statement in reads {
-        // A new session: nothing of its own to be seen.
+        // A new session, which has no writes of its own to see and may read from a replica.
         assert_eq!(ask(&mut stage.client(), statement).outcome_name(), "served", "{statement}");
         let ran = stage.site.sets[0].ran();
         let ran: Vec<_> = ran.iter().filter(|r| r.request == statement).map(|r| r.host).collect();
@@ -99,10 +102,10 @@
     assert!(status == 200 && lines.iter().all(|l| figures.contains(l)), "{figures}");
 }
 
-/// Guards sessions: a read on the connection that has written sees what it wrote, however far replicas are behind.
+/// A read sees what its own connection wrote before, however far replicas lag behind.
 #[test]
-fn own_writes_are_seen() {
-    let stage = Stage::open("own", Some(RULES));
+fn session_reads_its_own_writes() {
+    let stage = Setup::open("own", Some(RULES));
     (1..3).for_each(|n| stage.site.sets[0].set_lag(n, Duration::from_secs(3600)));
     let mut client = stage.client();
     for n in 0..20 {
@@ -114,18 +117,18 @@
     }
 }
 
-/// Guards results: all of a result comes, in order, with what stands around it.
+/// All messages of a result arrive in order, including notices, the row description and the command tag.
 #[test]
-fn whole_results_come_through() {
-    let stage = Stage::open("results", Some(RULES));
+fn whole_results_arrive() {
+    let stage = Setup::open("results", Some(RULES));
     let mut table = Table::of(&["station", "votes", "remark"], &[&["one", "17", "x"], &["two", "5", ""]]);
     table.rows[1][2] = None;
     table.notices = vec!["recounted".to_owned()];
-    stage.everywhere(&Rule::always("FROM tallies", Act::Answer(table.clone())));
-    stage.everywhere(&Rule::always("FROM nobody", Act::Answer(Table::of(&["station"], &[]))));
+    stage.script_all_hosts(&Rule::always("FROM tallies", Act::Answer(table.clone())));
+    stage.script_all_hosts(&Rule::always("FROM nobody", Act::Answer(Table::of(&["station"], &[]))));
     let silent = Table { tag: "VACUUM".to_owned(), ..Table::default() };
-    stage.everywhere(&Rule::always("VACUUM", Act::Answer(silent)));
-    stage.everywhere(&Rule::always(
+    stage.script_all_hosts(&Rule::always("VACUUM", Act::Answer(silent)));
+    stage.script_all_hosts(&Rule::always(
         "FROM typo",
         Act::Refuse { code: "42P01".to_owned(), text: "no such table".to_owned() },
     ));
@@ -145,17 +148,17 @@
     for statement in ["BEGIN", "COPY t FROM STDIN", "SELECT 1; SELECT 2", "LISTEN x"] {
         assert_eq!(ask(&mut client, statement).code(), Some("0A000"), "{statement}");
     }
-    assert_eq!(ask(&mut client, "SELECT 1").outcome_name(), "served", "the connection goes on");
+    assert_eq!(ask(&mut client, "SELECT 1").outcome_name(), "served", "the connection stays usable");
 }
 
-/// Guards memory and order: a result far larger than what the program holds comes whole, as fast as it is read; and one
-/// that breaks off can't be taken for whole.
+/// A result far larger than the program's buffers arrives whole, as fast as the client reads it. If it breaks
+/// off, the client gets an error and can't mistake it for a complete result.
 #[test]
-fn large_results_pass_at_the_readers_pace() {
-    let stage = Stage::open("large", Some(RULES));
+fn large_results_arrive_at_the_readers_pace() {
+    let stage = Setup::open("large", Some(RULES));
     let rows: Vec<_> = (0..20_000).map(|n| vec![Some(format!("{n:0>200}").into_bytes()), None]).collect();
     let table = Table { columns: vec!["a".to_owned(), "b".to_owned()], rows, ..Table::default() };
-    stage.everywhere(&Rule::always("FROM large", Act::Answer(table.clone())));
+    stage.script_all_hosts(&Rule::always("FROM large", Act::Answer(table.clone())));
     let mut client = stage.client();
     for _ in 0..3 {
         let reply = ask(&mut client, "SELECT * FROM large");
@@ -163,28 +166,28 @@
         assert!(reply.rows == table.rows && reply.tag.as_deref() == Some("SELECT 20000"));
     }
     stage.site.sets[0].clear_scripts();
-    stage.everywhere(&Rule::always("FROM large", Act::CutAfter(table, 2_000_000)));
-    assert!(client.query("SELECT * FROM large").is_err(), "it ends amid the rows");
+    stage.script_all_hosts(&Rule::always("FROM large", Act::CutAfter(table, 2_000_000)));
+    assert!(client.query("SELECT * FROM large").is_err(), "the connection ends in the middle of the rows");
 }
 
-/// Guards against running twice: a plain write has no key, so one that may have run is never sent again.
+/// A plain write that may have run is never sent again: it has no idempotency key, so it could run twice.
 #[test]
 fn a_write_that_may_have_run_is_not_repeated() {
-    let stage = Stage::open("once", Some(RULES));
-    // A read may be repeated, and is.
+    let stage = Setup::open("once", Some(RULES));
+    // A read is safe to repeat and is sent again.
     (1..3).for_each(|n| stage.site.sets[0].script(n, Rule::once("SELECT 'again'", Act::ResetBefore)));
     assert_eq!(ask(&mut stage.client(), "SELECT 'again'").outcome_name(), "served");
-    stage.everywhere(&Rule::always("VALUES ('a'", Act::ResetAfter));
+    stage.script_all_hosts(&Rule::always("VALUES ('a'", Act::ResetAfter));
     let mut client = stage.client();
     let reply = ask(&mut client, "INSERT INTO facts (code, data) VALUES ('a', '1')");
     assert_eq!(reply.outcome_name(), "failed", "{reply:?}");
     assert_eq!(stage.ran("VALUES ('a'"), [0]);
 }
 
-/// Guards the comment's word: where it names a reading class for a write, the write goes to the primary all the same.
+/// A write whose routing comment names a reading class still goes to the primary.
 #[test]
-fn a_comment_that_says_less_does_not_count() {
-    let stage = Stage::open("less", Some(RULES));
+fn reading_class_in_a_comment_does_not_redirect_a_write() {
+    let stage = Setup::open("less", Some(RULES));
     let mut client = stage.client();
     let statement = "/* id=1,c=own-read,d=60000,cluster=1 */ SELECT record_vote('a')";
     assert_eq!(ask(&mut client, statement).outcome_name(), "served");
@@ -193,37 +196,37 @@
     assert!(figures.contains("app_contradictions 1\n"), "{figures}");
 }
 
-/// Guards operators: a file with a slip leaves the old rules standing, and a good one counts from the signal on.
+/// On SIGHUP, an invalid rules file leaves the old rules in force, and a valid one replaces them.
 #[test]
 fn rules_are_reread() {
-    let mut stage = Stage::open("reread", Some(RULES));
+    let mut stage = Setup::open("reread", Some(RULES));
     let file = stage.folder.join("rules.textproto");
     std::fs::write(&file, RULES.replace("cluster: 1", "clutser: 1")).expect("a file");
-    stage.process.signal("HUP").expect("it can be told");
-    let line = stage.process.until("configuration kept").expect("it says so");
+    stage.process.signal("HUP").expect("the signal is sent");
+    let line = stage.process.until("configuration kept").expect("the process logs it");
     assert!(line.contains("rules.textproto:2:"), "{line}");
     assert_eq!(ask(&mut stage.client(), "SELECT 1").outcome_name(), "served");
     let writes_only = "route { match { access: WRITE } class: \"plain-write\" cluster: 1 }";
     std::fs::write(&file, writes_only).expect("a file");
-    stage.process.signal("HUP").expect("it can be told");
-    stage.process.until("configuration reread").expect("it says so");
+    stage.process.signal("HUP").expect("the signal is sent");
+    stage.process.until("configuration reread").expect("the process logs it");
     assert_eq!(ask(&mut stage.client(), "SELECT 1").code(), Some("42501"));
     let _ = stage.platform.config();
 }
 
 #[test]
-fn without_rules_nothing_is_classed() {
-    let stage = Stage::open("none", None);
+fn without_rules_plain_statements_are_refused() {
+    let stage = Setup::open("none", None);
     assert_eq!(ask(&mut stage.client(), "SELECT 1").code(), Some("22023"));
     assert_eq!(stage.process.call("GET", "/shapes").expect("an answer").0, 404);
 }
 
-/// The name of an outcome, as these tests tell them apart.
-trait Named {
+/// Gives replies the name of their outcome, in the categories of these tests.
+trait OutcomeName {
     fn outcome_name(&self) -> &'static str;
 }
 
-impl Named for Reply {
+impl OutcomeName for Reply {
     fn outcome_name(&self) -> &'static str {
         use gradeshunt_stand_ins::checker::Outcome;
         match self.outcome() {
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -1,4 +1,4 @@
-//! Requests that are held find their members, the worthiest first.
+//! Assigns held requests to members, those of the highest worth first.
 
 use std::collections::BTreeSet;
 
@@ -7,21 +7,23 @@
     fade, Attempt, Balancer, Request, CROWDED, LAG_FADES_IN, NEVER, PROBE_WAIT_PACES, TIMEOUT_FACTORS,
 };
 use crate::interface::{Action, Effect, GroupId, MemberId, Micros, ReadLevel, RequestId, ZoneId};
-use crate::permission::{may_begin, AttemptLimits, Doubt, RequestFacts};
+use crate::permission::{may_begin, AttemptLimits, PossibleExecution, RequestState};
 
 impl Balancer {
-    /// Sends what the group holds, the worthiest for its work first, as far as members have room.
+    /// Sends the requests that the group holds as far as members have room, in order of worth per work.
     pub(super) fn dispatch(&mut self, now: Micros, group: GroupId, actions: &mut Vec<Action>) {
         let Some(g) = self.groups.get(&group) else { return };
         let primary = g.primary;
         let requests = g.held.iter().filter_map(|id| self.requests.get(id).map(|r| (*id, r)));
         let requests = requests.filter(|(_, r)| r.is_settled(now));
-        let mut held: Vec<_> = requests.map(|(id, r)| (self.merit(now, r), (r.arrived, id))).collect();
-        // Of equals the newest: under overload it has the most time left.
+        let mut held: Vec<_> =
+            requests.map(|(id, r)| (self.worth_per_work(now, r), (r.arrived, id))).collect();
+        // Of equal requests the newest comes first: under overload it has the most time left.
         held.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
         let mut full = BTreeSet::new();
         for (worth, (_, id)) in held {
-            // What is worth no more than one of its kind that found no room finds none: many may wait for a primary.
+            // If a request found no room, later requests of the same kind are worth no more and are skipped:
+            // many may wait for a primary, and trying each would be slow.
             let kind = self.requests.get(&id).map(|r| (r.class, r.primary_only));
             if full.contains(&kind) {
                 continue;
@@ -29,9 +31,11 @@
             let Some(mut r) = self.requests.remove(&id) else { continue };
             let among = self.eligible(now, &r);
             let lone = among.iter().all(|to| primary == Some(*to));
-            // Reads that fall back on the primary leave its turns to what only it can do.
+            // While primaries are overloaded, reads that could fall back on the primary leave it to requests
+            // that only it can serve.
             let read = self.settings.classes[r.class.0].read;
-            let off = matches!(read, ReadLevel::Bounded(_) | ReadLevel::Any) && self.crowded(now);
+            let off =
+                matches!(read, ReadLevel::Bounded(_) | ReadLevel::Any) && self.primaries_overloaded(now);
             if lone && (self.wait_for_probe(now, id, &mut r, actions) || off) {
                 self.requests.insert(id, r);
                 continue;
@@ -39,11 +43,14 @@
             let only = matches!(read, ReadLevel::Write | ReadLevel::Fresh);
             let worth = if lone && !only { worth / 2.0 } else { worth };
             let mut target = self.pick(now, r.class, worth, &among);
-            // Where those have no room, a primary with room to spare takes reads too: a few recent ones would drown.
-            if let (None, false, Some(p)) = (target, lone, primary.filter(|p| self.spares(now, *p))) {
+            // If the replicas have no room, a primary with room to spare takes reads too. Otherwise the few
+            // replicas that are recent enough would be overloaded.
+            if let (None, false, Some(p)) =
+                (target, lone, primary.filter(|p| self.has_room_to_spare(now, *p)))
+            {
                 target = self.pick(now, r.class, worth / 2.0, &[p]);
             }
-            // Session reads differ in what they need.
+            // Session reads are not skipped, since they differ in the position they need.
             if target.is_none() && read != ReadLevel::Session {
                 full.insert(kind);
             }
@@ -55,11 +62,12 @@
             }
         }
         if self.groups.get(&group).is_none_or(|g| g.held.is_empty()) {
-            self.holding.remove(&group);
+            self.groups_with_held.remove(&group);
         }
     }
 
-    /// Sends what has waited for a close to settle, or for a probe. The former is not shed before: that wait was not its own.
+    /// Dispatches requests that have waited for a connection's close to take effect or for a probe. The
+    /// former are not shed earlier, because they could not have been sent.
     pub(super) fn dispatch_resumed(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.dispatch_due.first().is_none_or(|(at, _)| now < *at) {
             return;
@@ -71,7 +79,8 @@
         groups.into_iter().for_each(|group| self.dispatch(now, group, actions));
     }
 
-    /// A read that only ignorance keeps from replicas waits for one probe's answer: with many drivers primaries drown.
+    /// Makes a read wait for one probe's answer if replicas are excluded only because their positions are not
+    /// known to be recent enough. With many drivers, primaries would be overloaded by such reads.
     pub(super) fn wait_for_probe(
         &mut self,
         now: Micros,
@@ -79,34 +88,40 @@
         r: &mut Request,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let Some(need) = self.need(now, r).filter(|n| *n > NEVER && r.out() == 0) else { return false };
-        if let Some(asked) = r.asked {
+        let Some(need) = self.required_position(now, r).filter(|n| *n > NEVER && r.in_flight() == 0) else {
+            return false;
+        };
+        if let Some(asked) = r.probed_replica {
             let m = self.members.get(&asked);
-            return m.and_then(|m| m.probing).is_some_and(|sent| now < self.waited_until(sent));
+            return m.and_then(|m| m.probe_sent_at).is_some_and(|sent| now < self.probe_wait_end(sent));
         }
-        // Drawn among those that should be recent enough: all drivers must not ask the same one.
-        let old = |m: &Member| m.outlook(now, LAG_FADES_IN) >= need && now - m.heard_position > self.pace * 2;
+        // Drawn at random among the replicas that are likely to be recent enough, so that not all drivers
+        // probe the same one.
+        let old = |m: &Member| {
+            m.estimated_position(now, LAG_FADES_IN) >= need
+                && now - m.position_reported_at > self.min_round_gap * 2
+        };
         let likely = self.replicas(r.group, old);
         let Some(to) = self.rng.choice(&likely).copied() else { return false };
-        if self.members[&to].probing.is_none() && !self.probe(now, to, actions) {
+        if self.members[&to].probe_sent_at.is_none() && !self.probe(now, to, actions) {
             return false;
         }
-        r.asked = Some(to);
-        let asked_at = self.members[&to].probing.unwrap_or(now);
-        self.dispatch_due.insert((self.waited_until(asked_at), id));
+        r.probed_replica = Some(to);
+        let asked_at = self.members[&to].probe_sent_at.unwrap_or(now);
+        self.dispatch_due.insert((self.probe_wait_end(asked_at), id));
         true
     }
 
-    /// Until when a probe is waited for that was sent then.
-    fn waited_until(&self, sent: Micros) -> Micros {
-        sent + self.pace * PROBE_WAIT_PACES / 2
+    /// The time until which reads wait for a probe that was sent at `sent`.
+    fn probe_wait_end(&self, sent: Micros) -> Micros {
+        sent + self.min_round_gap * PROBE_WAIT_PACES / 2
     }
 
-    /// Worth for work; what is late already counts with what it still earns.
-    pub(super) fn merit(&self, now: Micros, r: &Request) -> f64 {
-        // Judged by work: a queue at the primary must not make its writes look late.
+    /// Worth per work. A late request counts with what it can still earn.
+    pub(super) fn worth_per_work(&self, now: Micros, r: &Request) -> f64 {
+        // Lateness is estimated by the work alone: a queue at the primary must not make its writes look late.
         let c = &self.settings.classes[r.class.0];
-        let late = now + self.work[r.class.0] as Micros > r.began + c.aim;
+        let late = now + self.work[r.class.0] as Micros > r.first_sent + c.latency_target;
         let share = r.share.map_or(self.settings.over_share_worth, |_| 1.0);
         c.worth * share * if late { c.late_worth } else { 1.0 } / self.work[r.class.0]
     }
@@ -114,23 +129,23 @@
     /// Whether the class's effect, the attempt limit and the settings permit another attempt in this zone.
     pub(super) fn may_send(&self, now: Micros, r: &Request, zone: ZoneId) -> bool {
         let allowed = &self.settings.allowed;
-        let doubt = r.doubt().map(|first| Doubt {
-            since: r.copied_from.map_or(first.sent, |at| at.min(first.sent)),
+        let doubt = r.first_uncertain().map(|first| PossibleExecution {
+            sent_at: r.uncertain_since.map_or(first.sent, |at| at.min(first.sent)),
             zone: Some(first.zone),
         });
-        let request = RequestFacts {
+        let request = RequestState {
             effect: self.settings.classes[r.class.0].effect,
             deadline: r.deadline,
             answered: r.answered,
-            // Of one whose client has left the driver tells, and it is closed.
+            // When a client leaves, the driver reports it and the request is closed before.
             client_left: false,
-            begun: r.attempts.len() as u32,
-            out: r.out() as u32,
-            doubt,
+            attempts_begun: r.attempts.len() as u32,
+            in_flight: r.in_flight() as u32,
+            possible_execution: doubt,
             settled_at: r.settled_at,
         };
         let limits = AttemptLimits {
-            attempts: allowed.attempts,
+            max_attempts: allowed.max_attempts,
             second_copies: allowed.second_copies,
             margin: self.settings.tick,
         };
@@ -141,22 +156,28 @@
         let Some(r) = self.requests.get(&id) else { return };
         let (attempt, work) = (r.attempts.len() as u32, self.work[r.class.0]);
         let Some(m) = self.members.get(&to) else { return };
-        let gap = if self.concurrency_limit(now, m) < 1.0 { self.gap(now, r.class, m) as Micros } else { 0 };
+        let gap = if self.concurrency_limit(now, m) < 1.0 {
+            self.send_interval(now, r.class, m) as Micros
+        } else {
+            0
+        };
         let (Some(m), Some(r)) = (self.members.get_mut(&to), self.requests.get_mut(&id)) else { return };
-        m.turn = if gap > 0 { now.max(m.turn + gap) } else { m.turn };
-        m.busy = (fade(m.busy, now) + work, now);
-        self.watched.insert(to);
-        r.copied_from = r.copied_from.or(r.doubt().map(|a| a.sent));
+        m.last_slot = if gap > 0 { now.max(m.last_slot + gap) } else { m.last_slot };
+        m.work_sent = (fade(m.work_sent, now) + work, now);
+        self.active_members.insert(to);
+        r.uncertain_since = r.uncertain_since.or(r.first_uncertain().map(|a| a.sent));
         r.attempts.push(Attempt { zone: m.entry.zone, sent: now, ending: None });
-        m.out.insert((now, id, attempt), r.class);
+        m.in_flight.insert((now, id, attempt), r.class);
         if let (Some(b), true) = (r.bucket, r.sequence > 0) {
             self.buckets[b].open = self.buckets[b].open.max(Some(r.sequence));
         }
-        // A connection may fall silent while its member serves on: a first attempt waits no longer than nearly all take.
-        let tail = if m.strain > CROWDED { TIMEOUT_FACTORS.1 } else { self.tail };
-        let patience = (work * m.slow.max(1.0) * tail) as Micros;
+        // A connection may stall while its member goes on serving, so a first attempt waits only as long as
+        // nearly all answers take.
+        let tail = if m.load > CROWDED { TIMEOUT_FACTORS.1 } else { self.tail_factor };
+        let patience = (work * m.relative_latency.max(1.0) * tail) as Micros;
         let first = attempt == 0 && self.settings.classes[r.class.0].effect != Effect::Unsafe;
-        let timeout = if first { patience.max(self.pace).min(r.deadline - now) } else { r.deadline - now };
+        let timeout =
+            if first { patience.max(self.min_round_gap).min(r.deadline - now) } else { r.deadline - now };
         actions.push(Action::Send { request: id, member: to, timeout });
     }
 }
--- a/src/balance/outcome.rs
+++ b/src/balance/outcome.rs
@@ -1,4 +1,4 @@
-//! What endings say of members, and what becomes of requests whose attempts have ended.
+//! Processes the results of attempts: updates members' health, and retries, refuses or closes requests.
 
 use super::{
     brief_hold, fade, Balancer, Request, CROWDED, DENSE_ANSWERS, MIN_FLEET_WINDOW, MIN_WINDOW_SHARE,
@@ -9,63 +9,69 @@
 };
 
 impl Balancer {
-    /// Updates the member's failure rate, answer times and concurrency window by an outcome.
+    /// Updates the member's failure rate, answer times and concurrency window from the result of an attempt.
     pub(super) fn update_health(&mut self, now: Micros, outcome: &Outcome, class: ClassId) {
         let Outcome { member: id, ending, elapsed, .. } = *outcome;
-        let (borne, fleet) = (self.borne(now), f64::from(self.settings.fleet.max(1)));
-        let share = elapsed as f64 / (self.settings.classes[class.0].aim as f64).max(1.0);
+        let (borne, fleet) = (self.mean_concurrency(now), f64::from(self.settings.fleet_size.max(1)));
+        let share = elapsed as f64 / (self.settings.classes[class.0].latency_target as f64).max(1.0);
         let Some(m) = self.members.get_mut(&id) else { return };
-        // A client that waits for little says little of the member.
+        // If the client waited only briefly, a timeout says little about the member.
         let late = matches!(ending, Ending::Timeout | Ending::Cancelled) && share > 2.0 * CROWDED;
         let primary = self.groups.get(&m.entry.group).is_some_and(|g| g.primary == Some(id));
         if primary && (late || matches!(ending, Ending::Ok | Ending::Full)) {
             let told = if ending == Ending::Full { 1.0 } else { share.min(2.0) };
-            let fresh = (1.0 - ((self.crowd.1 - now) as f64 / DENSE_ANSWERS as f64).exp()).max(0.1);
-            self.crowd = (self.crowd.0 + fresh * (told - self.crowd.0), now);
+            let fresh = (1.0 - ((self.primary_load.1 - now) as f64 / DENSE_ANSWERS as f64).exp()).max(0.1);
+            self.primary_load = (self.primary_load.0 + fresh * (told - self.primary_load.0), now);
         }
-        // How long this tells of: as answers get rare each counts for more, up to a few seconds' worth.
+        // The time that this result stands for: rarer results get a larger weight, limited to a few seconds'
+        // worth.
         let age = ((now - m.heard) as f64 / DENSE_ANSWERS as f64).min(3.0);
         let fresh = 1.0 - (-age).exp();
         if matches!(ending, Ending::Ok | Ending::Error | Ending::Miss | Ending::Full) {
             m.heard = now;
         }
         let least = (m.weight() * borne * MIN_WINDOW_SHARE).max((MIN_FLEET_WINDOW / fleet).min(1.0));
-        let (ratio, lately) = (elapsed as f64 / self.work[class.0], now - self.pace * PROBE_GAP_PACES);
-        if ending == Ending::ConnectFailed && elapsed < self.pace * PROBE_GAP_PACES {
-            m.refused = (fade(m.refused, now) + 1.0, now);
+        let (ratio, lately) =
+            (elapsed as f64 / self.work[class.0], now - self.min_round_gap * PROBE_GAP_PACES);
+        if ending == Ending::ConnectFailed && elapsed < self.min_round_gap * PROBE_GAP_PACES {
+            m.refused_connects = (fade(m.refused_connects, now) + 1.0, now);
         }
         match ending {
             Ending::Ok => {
-                self.served = (fade(self.served, now) + self.work[class.0], now);
+                self.recent_work = (fade(self.recent_work, now) + self.work[class.0], now);
                 m.recover(now);
-                let long = ratio / m.slow.max(1.0) > self.tail;
-                self.tail = (self.tail + if long { 2.0 } else { -2.0 * TAIL_SHARE })
+                let long = ratio / m.relative_latency.max(1.0) > self.tail_factor;
+                self.tail_factor = (self.tail_factor + if long { 2.0 } else { -2.0 * TAIL_SHARE })
                     .clamp(TIMEOUT_FACTORS.0, TIMEOUT_FACTORS.1);
-                m.errors *= 0.9 - 0.2 * fresh;
-                m.slow += (0.2 * fresh).max(0.05) * (ratio - m.slow);
+                m.failure_rate *= 0.9 - 0.2 * fresh;
+                m.relative_latency += (0.2 * fresh).max(0.05) * (ratio - m.relative_latency);
                 m.strain(now, elapsed, share, age, least);
-                let rise = if m.strain > CROWDED { 0.0 } else { 0.03 };
+                let rise = if m.load > CROWDED { 0.0 } else { 0.03 };
                 self.work[class.0] *= 1.0 + if ratio < 1.0 { -0.03 } else { rise };
             }
-            Ending::Error => m.errors += (0.5 * fresh).max(0.1) * (1.0 - m.errors),
+            Ending::Error => m.failure_rate += (0.5 * fresh).max(0.1) * (1.0 - m.failure_rate),
             Ending::Miss => m.recover(now),
             Ending::Full => {
-                m.cut(now, 0.7, least);
-                (m.turn, m.pause) = (now, now + self.pace * PROBE_GAP_PACES / 2);
+                m.shrink_window(now, 0.7, least);
+                (m.last_slot, m.paused_until) = (now, now + self.min_round_gap * PROBE_GAP_PACES / 2);
             }
             Ending::ConnectFailed if now < self.connections_scarce_until => {
-                m.pause = now + self.pace * PROBE_GAP_PACES
+                m.paused_until = now + self.min_round_gap * PROBE_GAP_PACES
             }
-            // Connections break one by one, too, while the process serves on. It is gone if others break as well.
-            Ending::ConnectFailed | Ending::Reset if m.heard > m.last_broken.max(lately) => {
-                m.last_broken = now
+            // Single connections may break while the process goes on serving. The member is suspected if
+            // another one breaks before it answers again.
+            Ending::ConnectFailed | Ending::Reset if m.heard > m.connection_broken_at.max(lately) => {
+                m.connection_broken_at = now
+            }
+            // A member that is down refuses connections at once. One that does not respond is unreachable and
+            // need not have restarted.
+            Ending::ConnectFailed => {
+                self.mark_suspect(now, id, elapsed < self.min_round_gap * PROBE_GAP_PACES)
             }
-            // One that is gone refuses at once; one that never answers is out of reach, and need not start anew.
-            Ending::ConnectFailed => self.mark_suspect(now, id, elapsed < self.pace * PROBE_GAP_PACES),
             Ending::Reset => self.mark_suspect(now, id, true),
-            // Called off at its deadline, it took as long at least.
+            // The attempt ended at its deadline, so its answer would have taken at least this long.
             Ending::Timeout | Ending::Cancelled => {
-                m.slow += (0.2 * fresh).max(0.05) * (ratio - m.slow).max(0.0);
+                m.relative_latency += (0.2 * fresh).max(0.05) * (ratio - m.relative_latency).max(0.0);
                 if late {
                     m.strain(now, elapsed, share, age, least);
                 }
@@ -74,16 +80,19 @@
         }
     }
 
-    /// A suspect gets nothing new, and requests that wait on it get a copy where that is permitted.
+    /// Marks a member as a suspect, which gets no new attempts. Requests that wait for it get a second
+    /// attempt where that is permitted.
     pub(super) fn mark_suspect(&mut self, now: Micros, id: MemberId, down: bool) {
         let Some(m) = self.members.get_mut(&id) else { return };
         if !m.suspect {
-            (m.suspect, m.down, m.ill_since, m.probe_due) =
-                (true, false, now, now + self.pace * PROBE_GAP_PACES);
+            (m.suspect, m.refuses_connections, m.health_changed_at, m.probe_due) =
+                (true, false, now, now + self.min_round_gap * PROBE_GAP_PACES);
         }
-        m.down |= down;
-        for id in m.out.keys().map(|k| k.1).collect::<Vec<_>>() {
-            let Some(r) = self.requests.get(&id).filter(|r| !r.answered && r.out() == 1) else { continue };
+        m.refuses_connections |= down;
+        for id in m.in_flight.keys().map(|k| k.1).collect::<Vec<_>>() {
+            let Some(r) = self.requests.get(&id).filter(|r| !r.answered && r.in_flight() == 1) else {
+                continue;
+            };
             let (group, zone) = (r.group, self.repeat_zone(r));
             if self.may_send(now, r, zone) && self.spend_retry() {
                 self.hold(group, id);
@@ -91,25 +100,27 @@
         }
     }
 
-    /// The zone in which another attempt is likeliest to be permitted: that of the first one that may have run.
+    /// The zone in which another attempt is most likely to be permitted: that of the first attempt that may
+    /// have executed.
     fn repeat_zone(&self, r: &Request) -> ZoneId {
-        r.doubt().map_or(self.settings.zone, |first| first.zone)
+        r.first_uncertain().map_or(self.settings.zone, |first| first.zone)
     }
 
     /// Queues a request until a member has room for it.
     pub(super) fn hold(&mut self, group: GroupId, id: RequestId) {
         self.groups.entry(group).or_default().held.insert(id);
-        self.holding.insert(group);
+        self.groups_with_held.insert(group);
     }
 
-    /// Takes a token of the retry budget; false where none is left.
+    /// Takes a token from the retry budget; returns `false` if none is left.
     pub(super) fn spend_retry(&mut self) -> bool {
-        let enough = self.retries >= 1.0;
-        self.retries -= if enough { 1.0 } else { 0.0 };
+        let enough = self.retry_tokens >= 1.0;
+        self.retry_tokens -= if enough { 1.0 } else { 0.0 };
         enough
     }
 
-    /// All attempts have ended without an answer: hold it for another, or give it up at once.
+    /// Holds a request for another attempt, or gives it up, after all its attempts have ended without an
+    /// answer.
     pub(super) fn retry_or_give_up(
         &mut self,
         now: Micros,
@@ -131,13 +142,15 @@
         }
     }
 
-    /// The final answer: a refusal where a repeat is harmless, else a failure.
+    /// Sends the final answer: a refusal if a retry is harmless, otherwise a failure.
     pub(super) fn give_up(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
         r.answered = true;
-        r.share.iter().for_each(|(t, gap)| self.shares[*t] -= gap);
+        r.share.iter().for_each(|(t, gap)| self.tenant_share_times[*t] -= gap);
         let effect = self.settings.classes[r.class.0].effect;
-        if r.doubt().is_none() || matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. }) {
+        if r.first_uncertain().is_none()
+            || matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. })
+        {
             let a = &self.settings.allowed;
             let hold = brief_hold(&self.settings.classes[r.class.0]);
             let retry_after = a.retry_after.then_some(hold.min(a.max_retry_after));
@@ -148,10 +161,10 @@
         self.close(now, id, actions);
     }
 
-    /// The request is over: attempts still out are called off, and a bucket that waits on it settles.
+    /// Ends a request: cancels the attempts in flight and marks its bucket's write as settled.
     pub(super) fn close(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let first = self.due.remove(&(r.deadline, id));
+        let first = self.deadlines.remove(&(r.deadline, id));
         if let Some(at) = r.settled_at {
             self.dispatch_due.remove(&(at, id));
         }
@@ -160,10 +173,11 @@
         let cancel = first && self.settings.allowed.cancel;
         let out = r.attempts.iter().zip(0..).filter(|(a, _)| cancel && a.ending.is_none());
         actions.extend(out.map(|(_, attempt)| Action::Cancel { request: id, attempt }));
-        if r.out() > 0 {
+        if r.in_flight() > 0 {
             return;
         }
-        // A lost write answer must not park its bucket's reads: replicas past this moment have it.
+        // A write whose answer was lost must not block its bucket's reads forever: replicas whose position is
+        // past this moment have applied it.
         if let Some(b) = r.bucket.map(|b| &mut self.buckets[b]).filter(|b| b.open == Some(r.sequence)) {
             (b.open, b.position) = (None, b.position.max(now));
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,73 +1,73 @@
-//! Reads the settings object that every driver is handed: the simulator's first message holds it, and so does
-//! the proxy's configuration.
+//! Parses the settings object that every driver gets. It is part of the simulator's first message and of the
+//! proxy's configuration.
 
 use serde_json::{Map, Value};
 
 use crate::interface::*;
 
-/// What is wrong with the input, in words.
+/// The error is a message that says what is wrong with the input.
 pub type Result<T> = std::result::Result<T, String>;
 
-/// The names in the settings, by the numbers that the library's types use.
+/// The names in the settings, indexed by the numbers that the library uses for them.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Request classes, as in [`Settings::classes`].
+    /// Request classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// Tenants, as in [`Settings::tenants`].
+    /// Tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
-    /// Fields of a load report.
+    /// Fields of a member's load report.
     pub fields: Vec<String>,
-    /// The time from which the settings' own clock counts positions.
-    pub zero: Micros,
+    /// The time that is position 0 on the settings' clock.
+    pub position_zero: Micros,
 }
 
 impl Names {
-    /// The number of a zone.
+    /// Returns the index of a zone.
     pub fn zone(&self, zone: &str) -> Result<ZoneId> {
         let at = self.zones.iter().position(|z| z == zone);
         at.map(ZoneId).ok_or_else(|| format!("unknown zone {zone:?}"))
     }
 
-    /// The number of a tenant.
+    /// Returns the index of a tenant.
     pub fn tenant(&self, tenant: &str) -> Option<TenantId> {
         self.tenants.iter().position(|t| t == tenant).map(TenantId)
     }
 
-    /// The number of a class.
+    /// Returns the index of a class.
     pub fn class(&self, class: &str) -> Option<ClassId> {
         self.classes.iter().position(|c| c == class).map(ClassId)
     }
 }
 
-/// What the settings say of connections; the library itself has no use for it.
+/// Connection settings. The library itself does not use them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Connections {
-    /// A member closes a connection that stood idle this long.
-    pub idle: Micros,
-    /// A connection that is not up by then has failed.
+pub struct ConnectionSettings {
+    /// A member closes a connection that has been idle for this long.
+    pub idle_timeout: Micros,
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
 }
 
-/// The settings object, read.
+/// The parsed settings object.
 #[derive(Clone, Debug)]
-pub struct Facts {
-    /// What the balancer is told.
+pub struct ParsedSettings {
+    /// The settings of the balancer.
     pub settings: Settings,
-    /// The names behind its numbers.
+    /// The names behind the numbers in `settings`.
     pub names: Names,
-    /// What drivers with connections of their own need to know.
-    pub connections: Connections,
+    /// Settings for drivers that manage connections themselves.
+    pub connections: ConnectionSettings,
 }
 
-/// Milliseconds to microseconds; nothing for what is no time that a clock can hold.
+/// Converts milliseconds to microseconds; `None` if the value is not a number or too large for a clock.
 pub fn time(v: &Value) -> Option<Micros> {
     let ms = v.as_f64().filter(|ms| ms.abs() < 1e12)?;
     Some((ms * 1000.0).round() as Micros)
 }
 
-/// Keys of one object of the settings; those that the library has no use for are passed over.
+/// Access to the keys of one object of the settings. Keys that the library does not use are ignored.
 struct Keys<'a> {
     path: &'a str,
     map: &'a Map<String, Value>,
@@ -79,47 +79,47 @@
         Ok(Keys { path, map })
     }
 
-    fn need<T>(&self, key: &str, kind: &str, f: impl Fn(&'a Value) -> Option<T>) -> Result<T> {
+    fn required<T>(&self, key: &str, kind: &str, f: impl Fn(&'a Value) -> Option<T>) -> Result<T> {
         let v = self.map.get(key).ok_or_else(|| format!("{}.{key} is missing", self.path))?;
         f(v).ok_or_else(|| format!("{}.{key} is not {kind}: {v}", self.path))
     }
 
     fn num(&self, key: &str) -> Result<f64> {
-        self.need(key, "a number", Value::as_f64)
+        self.required(key, "a number", Value::as_f64)
     }
 
     fn time(&self, key: &str) -> Result<Micros> {
-        self.need(key, "a time", time)
+        self.required(key, "a time", time)
     }
 
-    /// A time that lasts: what is negative is none.
-    fn span(&self, key: &str) -> Result<Micros> {
-        self.need(key, "a time of 0 or more", |v| time(v).filter(|t| *t >= 0))
+    /// A duration, which must not be negative.
+    fn duration(&self, key: &str) -> Result<Micros> {
+        self.required(key, "a time of 0 or more", |v| time(v).filter(|t| *t >= 0))
     }
 
-    /// A time in which something has to come to pass: in none nothing could.
-    fn limit(&self, key: &str) -> Result<Micros> {
-        self.need(key, "a time above 0", |v| time(v).filter(|t| *t > 0))
+    /// A time limit, which must be above zero, since nothing could meet a limit of zero.
+    fn positive_duration(&self, key: &str) -> Result<Micros> {
+        self.required(key, "a time above 0", |v| time(v).filter(|t| *t > 0))
     }
 
     fn amount(&self, key: &str) -> Result<f64> {
-        self.need(key, "a number of 0 or more", |v| v.as_f64().filter(|n| *n >= 0.0))
+        self.required(key, "a number of 0 or more", |v| v.as_f64().filter(|n| *n >= 0.0))
     }
 
     fn flag(&self, key: &str) -> Result<bool> {
-        self.need(key, "true or false", Value::as_bool)
+        self.required(key, "true or false", Value::as_bool)
     }
 
     fn text(&self, key: &str) -> Result<&'a str> {
-        self.need(key, "text", Value::as_str)
+        self.required(key, "text", Value::as_str)
     }
 
     fn list(&self, key: &str) -> Result<&'a Vec<Value>> {
-        self.need(key, "a list", Value::as_array)
+        self.required(key, "a list", Value::as_array)
     }
 
     fn count(&self, key: &str) -> Result<u32> {
-        self.need(key, "a whole number", |v| v.as_u64().and_then(|n| u32::try_from(n).ok()))
+        self.required(key, "a whole number", |v| v.as_u64().and_then(|n| u32::try_from(n).ok()))
     }
 
     fn texts(&self, key: &str) -> Result<Vec<String>> {
@@ -127,13 +127,13 @@
         texts.collect::<Option<_>>().ok_or_else(|| format!("{}.{key} is not a list of text", self.path))
     }
 
-    fn word<T>(&self, key: &str, f: impl Fn(&str) -> Option<T>) -> Result<T> {
-        self.need(key, "a known word", |v| f(v.as_str()?))
+    fn keyword<T>(&self, key: &str, f: impl Fn(&str) -> Option<T>) -> Result<T> {
+        self.required(key, "a known value", |v| f(v.as_str()?))
     }
 }
 
-/// Reads the settings object.
-pub fn read(facts: &Value) -> Result<Facts> {
+/// Parses the settings object.
+pub fn read(facts: &Value) -> Result<ParsedSettings> {
     let facts = Keys::new("facts", Some(facts))?;
     let family = Keys::new("facts.familyInfo", facts.map.get("familyInfo"))?;
     let feedback = Keys::new("facts.feedback", facts.map.get("feedback"))?;
@@ -142,7 +142,7 @@
         tenants: Vec::new(),
         zones: facts.texts("failureDomains")?,
         fields: feedback.texts("fields")?,
-        zero: family.time("positionZero")?,
+        position_zero: family.time("positionZero")?,
     };
     for v in facts.list("categories")? {
         let name = Keys::new("facts.categories[]", Some(v))?.text("name")?;
@@ -152,52 +152,52 @@
         names.classes.push(name.to_owned());
     }
     if names.classes.is_empty() {
-        return Err("facts.categories is empty: no request could be of any class".into());
+        return Err("facts.categories is empty: at least one class is required".into());
     }
     let tenants = tenants(&facts, &mut names.tenants)?;
-    let (fleet, me) = (facts.count("fleetSize")?, facts.count("me")?);
-    // All that is bounded over the fleet is divided by it.
-    if fleet == 0 {
-        return Err("facts.fleetSize is 0: there is this proxy at least".into());
+    let (fleet_size, driver_index) = (facts.count("fleetSize")?, facts.count("me")?);
+    // Limits for the whole fleet are divided by its size.
+    if fleet_size == 0 {
+        return Err("facts.fleetSize is 0, but must be 1 or more".into());
     }
-    if me >= fleet {
-        return Err(format!("facts.me is {me}, of proxies 0 to {}", fleet - 1));
+    if driver_index >= fleet_size {
+        return Err(format!("facts.me is {driver_index}, but must be below facts.fleetSize ({fleet_size})"));
     }
     let settings = Settings {
         classes: classes(&facts, &family)?,
         zone: names.zone(facts.text("zone")?)?,
-        fleet,
-        me,
-        tick: facts.span("tick")?,
-        list_on_request: facts.word("membershipMode", |w| match w {
+        fleet_size,
+        driver_index,
+        tick: facts.duration("tick")?,
+        list_on_request: facts.keyword("membershipMode", |w| match w {
             "on_request" => Some(true),
             "pushed" => Some(false),
             _ => None,
         })?,
-        listed_role: family.word("roleListed", |w| match w {
-            "trailing" => Some(ListedRole::Late),
-            "static" => Some(ListedRole::Start),
+        listed_role: family.keyword("roleListed", |w| match w {
+            "trailing" => Some(ListedRole::Delayed),
+            "static" => Some(ListedRole::Initial),
             "silent" => Some(ListedRole::Unlisted),
             _ => None,
         })?,
-        tokens: family.word("sessionMarks", |w| match w {
-            "brought" => Some(Tokens::Carried),
-            "kept" => Some(Tokens::Remembered),
+        session_tracking: family.keyword("sessionMarks", |w| match w {
+            "brought" => Some(SessionTracking::ByRequest),
+            "kept" => Some(SessionTracking::ByDriver),
             _ => None,
         })?,
-        behind: behind(&family)?,
-        positions: family.flag("positions")?,
+        lag_policy: lag_policy(&family)?,
+        answers_carry_positions: family.flag("positions")?,
         rules: rules(&facts)?,
         allowed: allowed(&facts)?,
-        prices: prices(&facts)?,
+        penalties: penalties(&facts)?,
         tenants,
-        // Of no use where nobody has a share.
+        // Not needed without tenants.
         over_share_worth: if names.tenants.is_empty() { 1.0 } else { facts.amount("overShareWorth")? },
     };
-    Ok(Facts { settings, names, connections: connections(&facts)? })
+    Ok(ParsedSettings { settings, names, connections: connections(&facts)? })
 }
 
-/// The tenants, and their names; a deployment may have none.
+/// Reads the tenants and their names; a deployment may have none.
 fn tenants(facts: &Keys, names: &mut Vec<String>) -> Result<Vec<Tenant>> {
     let mut tenants = Vec::new();
     let list = facts.map.get("customers").map_or(Ok(None), |_| facts.list("customers").map(Some))?;
@@ -208,7 +208,7 @@
             return Err(format!("facts.customers names {name:?} twice"));
         }
         if rate.is_nan() || rate < 0.0 {
-            return Err(format!("facts.customers[].quotaRps of {name:?} is {rate}, and no rate"));
+            return Err(format!("facts.customers[].quotaRps of {name:?} is {rate}, but must be 0 or more"));
         }
         names.push(name.to_owned());
         tenants.push(Tenant { rate });
@@ -216,21 +216,25 @@
     Ok(tenants)
 }
 
-fn connections(facts: &Keys) -> Result<Connections> {
+fn connections(facts: &Keys) -> Result<ConnectionSettings> {
     let k = Keys::new("facts.allowed", facts.map.get("allowed"))?;
-    // The simulator keeps the connections itself, so its adapter can do without these.
+    // The simulator manages connections itself, so its adapter may omit these.
     let given = |key: &str| k.map.contains_key(key);
-    Ok(Connections {
-        idle: if given("connIdle") { k.span("connIdle")? } else { 30_000_000 },
-        connect_timeout: if given("connectTimeout") { k.limit("connectTimeout")? } else { 250_000 },
+    Ok(ConnectionSettings {
+        idle_timeout: if given("connIdle") { k.duration("connIdle")? } else { 30_000_000 },
+        connect_timeout: if given("connectTimeout") {
+            k.positive_duration("connectTimeout")?
+        } else {
+            250_000
+        },
     })
 }
 
-fn behind(family: &Keys) -> Result<Behind> {
+fn lag_policy(family: &Keys) -> Result<LagPolicy> {
     Ok(match family.text("whenBehind")? {
-        "silent" => Behind::Silent,
-        "bounce" => Behind::Refuse,
-        "await" => Behind::Wait(family.span("catchUpWait")?),
+        "silent" => LagPolicy::AnswerStale,
+        "bounce" => LagPolicy::Reject,
+        "await" => LagPolicy::WaitThenReject(family.duration("catchUpWait")?),
         w => return Err(format!("unknown familyInfo.whenBehind {w:?}")),
     })
 }
@@ -239,7 +243,7 @@
     let (levels, bounds) = (family.texts("readLevel")?, family.list("lagAllowed")?);
     let list = facts.list("categories")?;
     if levels.len() != list.len() || bounds.len() != list.len() {
-        return Err("familyInfo.readLevel or lagAllowed does not fit categories".into());
+        return Err("familyInfo.readLevel and lagAllowed need one entry for each of categories".into());
     }
     let mut classes = Vec::new();
     for (i, v) in list.iter().enumerate() {
@@ -257,12 +261,12 @@
         let effect = match k.text("repeat")? {
             "pure" => Effect::Safe,
             "side_effect" => Effect::Unsafe,
-            "token" => Effect::Keyed { scope: k.word("group", scope)?, window: k.span("keyTtl")? },
+            "token" => Effect::Keyed { scope: k.keyword("group", scope)?, window: k.duration("keyTtl")? },
             w => return Err(format!("unknown repeat {w:?}")),
         };
-        let (aim, deadline) = (k.span("slo")?, k.limit("deadline")?);
+        let (latency_target, deadline) = (k.duration("slo")?, k.positive_duration("deadline")?);
         let (worth, late_worth) = (k.amount("worth")?, k.amount("lateWorth")?);
-        classes.push(Class { aim, deadline, worth, late_worth, effect, read });
+        classes.push(Class { latency_target, deadline, worth, late_worth, effect, read });
     }
     Ok(classes)
 }
@@ -279,14 +283,14 @@
 fn rules(facts: &Keys) -> Result<Rules> {
     let k = Keys::new("facts.rules", facts.map.get("rules"))?;
     Ok(Rules {
-        answer_slack: k.span("answerSlack")?,
-        cold_share: k.amount("coldShare")?,
-        cold: k.span("cold")?,
-        drain_grace: k.span("drainGrace")?,
-        fall_multiple: k.amount("fallMultiple")?,
-        fall: k.span("fall")?,
-        must_ask_in: k.map.get("mustAskIn").map_or(Ok(0), |_| k.span("mustAskIn"))?,
-        dropped_stay_open: k.map.get("droppedStayOpen").map_or(Ok(false), |_| k.flag("droppedStayOpen"))?,
+        answer_slack: k.duration("answerSlack")?,
+        initial_capacity_share: k.amount("coldShare")?,
+        warm_up_time: k.duration("cold")?,
+        drain_grace: k.duration("drainGrace")?,
+        overload_multiple: k.amount("fallMultiple")?,
+        overload_time: k.duration("fall")?,
+        max_list_age: k.map.get("mustAskIn").map_or(Ok(0), |_| k.duration("mustAskIn"))?,
+        delisted_stay_open: k.map.get("droppedStayOpen").map_or(Ok(false), |_| k.flag("droppedStayOpen"))?,
     })
 }
 
@@ -294,25 +298,25 @@
     let k = Keys::new("facts.allowed", facts.map.get("allowed"))?;
     let attempts = k.count("sendCap")?;
     if attempts == 0 {
-        return Err("facts.allowed.sendCap is 0: nothing could ever be sent".into());
+        return Err("facts.allowed.sendCap is 0, but must be 1 or more".into());
     }
     Ok(Allowed {
-        attempts,
+        max_attempts: attempts,
         second_copies: k.flag("secondCopies")?,
         probes: k.flag("probing")?,
         cancel: k.flag("mayCancel")?,
         peers: k.flag("peers")?,
         retry_after: k.flag("retryAfter")?,
-        max_retry_after: k.span("maxRetryAfter")?,
+        max_retry_after: k.duration("maxRetryAfter")?,
     })
 }
 
-fn prices(facts: &Keys) -> Result<Prices> {
+fn penalties(facts: &Keys) -> Result<Penalties> {
     let k = Keys::new("facts.penalties", facts.map.get("penalties"))?;
-    Ok(Prices { probe: k.amount("probe")?, cross_zone: k.amount("crossZone")?, waste: k.amount("waste")? })
+    Ok(Penalties { probe: k.amount("probe")?, cross_zone: k.amount("crossZone")?, waste: k.amount("waste")? })
 }
 
-/// The FNV-1a hash: every driver's number for the same name.
+/// The FNV-1a hash of a name, which is the same for every driver.
 pub fn fnv(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -188,7 +188,7 @@
     // number of drivers, overloads a cold member.
     let reads_at_cold_member = |seed| {
         let mut s = settings(vec![ANY]);
-        s.fleet = 250;
+        s.fleet_size = 250;
         let mut d = Driver::seeded(s, seed);
         d.members(&[PRIMARY, THIRD], PRIMARY);
         let mut cold = 0;
@@ -312,7 +312,7 @@
     // Guards against starving a primary that is merely overloaded: each recovery used to halve its window,
     // without a lower limit.
     let mut s = settings(vec![FRESH]);
-    s.fleet = 250;
+    s.fleet_size = 250;
     let mut d = Driver::new(s);
     d.members(&[PRIMARY], PRIMARY);
     let mut id = 0;
@@ -468,7 +468,7 @@
     // Guards against a fixed delay between probes of a suspected member: writes wait for such a probe, and a
     // delay that suits classes with a long target time is too long for those with a short one.
     let mut s = settings(vec![WRITE]);
-    s.classes[0].aim = 50_000;
+    s.classes[0].latency_target = 50_000;
     let mut d = Driver::new(s);
     d.members(&[PRIMARY], PRIMARY);
     let write = d.write(1, 1);
@@ -480,8 +480,8 @@
 #[test]
 fn extreme_settings_are_tolerated() {
     let mut s = settings(vec![ANY, WRITE]);
-    (s.fleet, s.allowed.attempts, s.rules.cold) = (0, 0, 0);
-    s.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (0, 0));
+    (s.fleet_size, s.allowed.max_attempts, s.rules.warm_up_time) = (0, 0, 0);
+    s.classes.iter_mut().for_each(|c| (c.latency_target, c.deadline) = (0, 0));
     let mut d = Driver::new(s);
     d.members(&[], PRIMARY);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
@@ -532,7 +532,7 @@
     // others until their deadline, so its answers alone look fast.
     let sends = |answered: u64| {
         let mut s = settings(vec![ANY]);
-        s.fleet = 100;
+        s.fleet_size = 100;
         let mut d = Driver::new(s);
         d.members(&[PRIMARY], PRIMARY);
         for id in 0..1_000 {
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -15,7 +15,7 @@
 /// bounded reads at the given multiple of its rate; clients repeat a refused request once. Returns the share
 /// of each tenant's requests that was answered within the class's target time.
 fn shares_served(settings: Settings, load_factors: [f64; 3]) -> [f64; 3] {
-    let (aim, rates) = (settings.classes[0].aim, [100.0, 60.0, 40.0]);
+    let (aim, rates) = (settings.classes[0].latency_target, [100.0, 60.0, 40.0]);
     let mut d = Driver::new(settings);
     d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
     d.report(PRIMARY, 0, true);
@@ -96,12 +96,12 @@
         d.position(REPLICA, 1);
         d.tenant = tenant;
         d.request_in(1, 0, GROUP);
-        assert_eq!((d.sent(1).len(), d.balancer.is_beyond(RequestId(1))), (1, beyond), "{tenant:?}");
+        assert_eq!((d.sent(1).len(), d.balancer.exceeds_share(RequestId(1))), (1, beyond), "{tenant:?}");
     }
     let mut d = Driver::new(keyed_deployment());
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.request_in(1, 0, GROUP);
-    assert!(!d.balancer.is_beyond(RequestId(1)), "without tenants in the settings there are no shares");
+    assert!(!d.balancer.exceeds_share(RequestId(1)), "without tenants in the settings there are no shares");
 }
 
 #[test]
@@ -110,12 +110,12 @@
     d.run_to(60_000_000);
     d.tenant = Some(TenantId(1));
     (0..100).for_each(|id| d.request_in(id, 0, GROUP));
-    let within = (0..100).filter(|id| !d.balancer.is_beyond(RequestId(*id))).count();
+    let within = (0..100).filter(|id| !d.balancer.exceeds_share(RequestId(*id))).count();
     // The tenant's rate is 60 requests a second.
     assert_eq!(within, 31, "the requests of half a second, and the one that is due now");
     d.run_to(60_500_000);
     (100..200).for_each(|id| d.request_in(id, 0, GROUP));
-    let within = (100..200).filter(|id| !d.balancer.is_beyond(RequestId(*id))).count();
+    let within = (100..200).filter(|id| !d.balancer.exceeds_share(RequestId(*id))).count();
     assert!((29..=31).contains(&within), "{within}");
 }
 
@@ -215,7 +215,7 @@
     // Guards against stale session reads after a write that went through another proxy, which this one knows
     // nothing of.
     for site in [keyed_deployment(), shared_deployment()] {
-        let checked = site.behind != Behind::Silent;
+        let checked = site.lag_policy != LagPolicy::AnswerStale;
         let mut d = Driver::new(site);
         d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
         d.report(PRIMARY, 0, true);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,7 +11,7 @@
 /// number of unanswered attempts every 10 ms.
 fn play_writes_of_one_driver(seed: u64, answer_time: impl Fn(Micros) -> Micros) -> (Vec<Micros>, Vec<usize>) {
     let mut s = settings(vec![WRITE]);
-    s.fleet = 100;
+    s.fleet_size = 100;
     let mut d = Driver::seeded(s, seed);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     let (mut unsent, mut unanswered) = (Vec::new(), Vec::new());
@@ -70,7 +70,7 @@
     const COLD: MemberId = MemberId(3);
     let writes_at_cold_primary = |seed: u64| {
         let mut s = settings(vec![WRITE]);
-        s.fleet = 100;
+        s.fleet_size = 100;
         let mut d = Driver::seeded(s, seed);
         d.members(&[PRIMARY, REPLICA, THIRD], PRIMARY);
         for step in 0..1_300 {
@@ -104,7 +104,7 @@
 /// be recent enough, after another group's primary has answered writes late.
 fn read_reaches_the_primary_after_late_answers_elsewhere(fleet: u32, seed: u64) -> bool {
     let mut s = settings(vec![WRITE, BOUNDED]);
-    s.fleet = fleet;
+    s.fleet_size = fleet;
     let mut d = Driver::seeded(s, seed);
     let other = |m, leader| Entry { group: GroupId(2), ..entry(m, leader) };
     let sets =
@@ -141,7 +141,7 @@
     let tried = |after: Micros| {
         let one = |seed: &u64| {
             let mut s = settings(vec![BOUNDED]);
-            (s.fleet, s.behind, s.allowed.probes) = (300, Behind::Refuse, false);
+            (s.fleet_size, s.lag_policy, s.allowed.probes) = (300, LagPolicy::Reject, false);
             let mut d = Driver::seeded(s, *seed);
             d.members(&[PRIMARY, REPLICA], PRIMARY);
             d.at(5_000_000);
@@ -289,9 +289,9 @@
 /// all work once it is warm.
 fn play_cold_member_in_a_burst(rule: ColdRule, capacity: f64, seed: u64) -> (f64, f64) {
     let mut s = settings(vec![ANY, ANY]);
-    s.fleet = DRIVERS as u32;
-    (s.rules.cold_share, s.rules.cold) = (rule.share, rule.cold);
-    (s.rules.fall_multiple, s.rules.fall) = (rule.multiple, rule.fall);
+    s.fleet_size = DRIVERS as u32;
+    (s.rules.initial_capacity_share, s.rules.warm_up_time) = (rule.share, rule.cold);
+    (s.rules.overload_multiple, s.rules.overload_time) = (rule.multiple, rule.fall);
     let mut members: Vec<_> = (0..3).map(|_| SimulatedMember::new(capacity)).collect();
     let instances = (0..DRIVERS as u64).map(|n| SimulatedProxy::new(s.clone(), seed * 1_000 + n));
     let mut instances: Vec<_> = instances.collect();
--- a/tests/reads.rs
+++ b/tests/reads.rs
@@ -92,7 +92,7 @@
 #[test]
 fn carried_token_decides_instead_of_the_bucket_position() {
     let mut s = settings(vec![SESSION]);
-    s.tokens = Tokens::Carried;
+    s.session_tracking = SessionTracking::ByRequest;
     let mut d = Driver::new(s);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.at(1_000_000);
@@ -107,7 +107,7 @@
 #[test]
 fn checked_read_may_try_a_replica_slightly_behind_and_goes_to_the_primary_on_a_miss() {
     let mut s = settings(vec![SESSION]);
-    (s.tokens, s.behind) = (Tokens::Carried, Behind::Wait(50_000));
+    (s.session_tracking, s.lag_policy) = (SessionTracking::ByRequest, LagPolicy::WaitThenReject(50_000));
     let mut d = Driver::new(s);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.at(1_000_000);
@@ -140,7 +140,7 @@
     // Guards the scan of waiting requests: if one write or bounded read finds no member, its likes need not
     // be tried, but session reads differ in the position that they need.
     let mut s = settings(vec![SESSION]);
-    s.tokens = Tokens::Carried;
+    s.session_tracking = SessionTracking::ByRequest;
     let mut d = Driver::new(s);
     d.members(&[PRIMARY, REPLICA], PRIMARY);
     d.handle(Event::Maintenance { member: PRIMARY, out: true });
@@ -207,7 +207,7 @@
     // Guards against stale answers to plain statements, which carry no position that a replica could check.
     for (checked, expect) in [(true, REPLICA), (false, PRIMARY)] {
         let mut s = settings(vec![SESSION]);
-        (s.tokens, s.behind) = (Tokens::Carried, Behind::Refuse);
+        (s.session_tracking, s.lag_policy) = (SessionTracking::ByRequest, LagPolicy::Reject);
         let mut d = Driver::new(s);
         d.members(&[PRIMARY, REPLICA], PRIMARY);
         d.at(1_000_000);
