--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -103,14 +103,14 @@
     }
 
     /// Processes a source that has become ready. Returns false if the source belongs to another part.
-    pub fn event(&mut self, source: EventSource) -> bool {
+    pub fn process_event(&mut self, source: EventSource) -> bool {
         let EventSource::Call(id) = source else { return false };
         self.discovery.ready(&mut self.turn, id, &mut self.news);
         true
     }
 
     /// Processes an expired deadline. Returns false if the deadline belongs to another part.
-    pub fn due(&mut self, due: DeadlineKind) -> bool {
+    pub fn process_deadline(&mut self, due: DeadlineKind) -> bool {
         match due {
             DeadlineKind::Module(tag) => self.exchange.timer(&mut self.turn, tag),
             DeadlineKind::Overdue(id) => self.exchange.overdue(&mut self.turn, id),
@@ -129,7 +129,7 @@
 
     /// Passes queued data between the parts of the core until there is work for another part, or none is
     /// left.
-    pub fn step(&mut self) -> Option<Step> {
+    pub fn next_step(&mut self) -> Option<Step> {
         loop {
             // The decision module processes a change of the list before the connection pool does, and before
             // any further request is sent.
--- a/crates/gradeshunt/src/cycle.rs
+++ b/crates/gradeshunt/src/cycle.rs
@@ -49,7 +49,7 @@
 
     /// Returns how long a turn may wait for sources: zero if work is left, `None` if there is no deadline.
     pub fn wait(core: &Core) -> Option<Duration> {
-        let until = core.turn.deadlines.next();
+        let until = core.turn.deadlines.earliest();
         let wait = until.map(|at| (at - core.turn.clock.now()).max(0));
         let wait = if core.turn.unfinished.is_empty() { wait } else { Some(0) };
         wait.map(|t| Duration::from_micros(t as u64))
@@ -62,7 +62,7 @@
     ///
     /// If polling fails.
     pub fn run_turn(&mut self, handlers: &mut impl Handlers, wait: Option<Duration>) -> Result<(), String> {
-        let until = handlers.core().turn.deadlines.next();
+        let until = handlers.core().turn.deadlines.earliest();
         self.event_loop.dispatch(wait, &mut self.ready).map_err(|e| format!("cannot poll: {e}"))?;
         let mut sources = self.begin_turn(handlers.core(), until);
         sources.sort_by_key(|source| source_order(*source));
--- a/crates/gradeshunt/src/deadlines.rs
+++ b/crates/gradeshunt/src/deadlines.rs
@@ -99,7 +99,7 @@
     }
 
     /// Returns the time of the earliest deadline.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn earliest(&self) -> Option<Micros> {
         self.0.first().map(|d| d.0)
     }
 
--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -60,7 +60,7 @@
 
     /// Lets time go on to the next deadline, and tells when and what that was.
     fn next(&mut self) -> (Micros, DeadlineKind) {
-        let at = self.turn.deadlines.next().expect("a deadline");
+        let at = self.turn.deadlines.earliest().expect("a deadline");
         self.turn.now = at;
         let due = self.turn.deadlines.pop_expired(at).expect("it is due");
         match due {
@@ -201,7 +201,7 @@
         self.open.push(call);
         self.tell_failures();
         while self.latest_call() <= failed {
-            let at = self.play.turn.deadlines.next().expect("a deadline");
+            let at = self.play.turn.deadlines.earliest().expect("a deadline");
             match self.play.turn.deadlines.pop_expired(at).expect("it is due") {
                 DeadlineKind::Module(tag) => {
                     self.play.turn.now = at;
--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -144,7 +144,7 @@
     }
 
     /// Whether clients are accepted, or may be accepted again later.
-    pub fn may_accept_clients(&self) -> bool {
+    pub fn may_accept(&self) -> bool {
         self.service != ServiceState::Closing || self.listener.is_some() || self.peer_listener.is_some()
     }
 
--- a/crates/gradeshunt/src/frontend/answers.rs
+++ b/crates/gradeshunt/src/frontend/answers.rs
@@ -26,12 +26,12 @@
             return self.abandon_session(turn, exchange, id);
         }
         self.flush(turn, id);
-        self.report_unread(exchange, id, bytes.len());
+        self.report_unread_bytes(exchange, id, bytes.len());
     }
 
     /// Reports the number of bytes that the client has not read yet, so that the server side continues a long
     /// answer only while there is room for it.
-    pub(super) fn report_unread(&self, exchange: &mut Exchange, id: SessionId, received: usize) {
+    pub(super) fn report_unread_bytes(&self, exchange: &mut Exchange, id: SessionId, received: usize) {
         if let Some(Session { stage: Stage::Waiting(request), outbound, .. }) = self.sessions.get(&id) {
             exchange.unread(*request, received, outbound.len());
         }
--- a/crates/gradeshunt/src/frontend/listener.rs
+++ b/crates/gradeshunt/src/frontend/listener.rs
@@ -38,7 +38,7 @@
 
 impl Frontend {
     /// Starts to accept clients.
-    pub fn open(&mut self, turn: &mut Turn, listener: TcpListener) -> io::Result<()> {
+    pub fn listen_for_clients(&mut self, turn: &mut Turn, listener: TcpListener) -> io::Result<()> {
         self.listener = Some(Polled::new(turn, listener, EventSource::Listener)?);
         // The poll is edge-triggered and does not report connections that arrived before the registration.
         turn.unfinished.push(EventSource::Listener);
@@ -135,13 +135,13 @@
             has_sent_query: false,
             last_active: turn.now,
             backlogged_since: self.backlog_since[usize::from(source == Source::Proxy)],
-            due: None,
+            deadline: None,
             origin: Origin::default(),
             may_write: false,
             last_write: None,
         };
         self.sessions.insert(id, session);
-        self.set_due(turn, id, Some(turn.now + MESSAGE_TIMEOUT));
+        self.set_deadline(turn, id, Some(turn.now + MESSAGE_TIMEOUT));
         if full {
             warn!(turn.log, "too many clients, turning one away"; "clients" => self.sessions.len());
             let error =
--- a/crates/gradeshunt/src/frontend/messages.rs
+++ b/crates/gradeshunt/src/frontend/messages.rs
@@ -55,7 +55,7 @@
             }
         }
         self.flush(turn, id);
-        self.report_unread(exchange, id, 0);
+        self.report_unread_bytes(exchange, id, 0);
         self.set_message_deadline(turn, id);
         self.close_if_draining(turn, id);
     }
@@ -71,7 +71,7 @@
         };
         // The time counts from the message's first byte, however long the message waited behind a request in
         // progress.
-        self.set_due(turn, id, part.map(|arrived| arrived + MESSAGE_TIMEOUT));
+        self.set_deadline(turn, id, part.map(|arrived| arrived + MESSAGE_TIMEOUT));
     }
 
     /// Processes the startup packet, if it is complete. Returns whether to continue with the next message.
@@ -117,7 +117,7 @@
                 let fits = s
                     .outbound
                     .push(&w.startup_reply(process_id(id), self.secret_hasher.hash_one(id) as u32).0);
-                self.set_due(turn, id, None);
+                self.set_deadline(turn, id, None);
                 Ok(fits)
             }
         }
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -68,7 +68,7 @@
     /// backlog. Taken at the first read.
     pub(super) backlogged_since: Option<Micros>,
     /// When the session's deadline expires, if one is set.
-    pub(super) due: Option<Micros>,
+    pub(super) deadline: Option<Micros>,
     /// The user, database and application of the startup message.
     pub(super) origin: Origin,
     /// Whether the plain statement in progress may write.
@@ -92,7 +92,7 @@
 impl Frontend {
     /// Handles an expired deadline of a session: the client took too long to send a message, or to close.
     pub fn session_due(&mut self, turn: &mut Turn, id: SessionId) {
-        let Some(s) = self.sessions.get(&id).filter(|s| s.due.is_some_and(|due| due <= turn.now)) else {
+        let Some(s) = self.sessions.get(&id).filter(|s| s.deadline.is_some_and(|due| due <= turn.now)) else {
             return;
         };
         if s.is_closing() {
@@ -181,11 +181,11 @@
             Stage::Closing if s.outbound.is_empty() => {
                 s.stage = Stage::Lingering;
                 let _ = s.polled.socket.shutdown(Shutdown::Write);
-                self.set_due(turn, id, Some(turn.now + LINGER));
+                self.set_deadline(turn, id, Some(turn.now + LINGER));
             }
             // Each progress extends the deadline, so that a slow client that keeps reading gets the whole
             // message.
-            Stage::Closing if moved => self.set_due(turn, id, Some(turn.now + CLOSE_STALL_TIMEOUT)),
+            Stage::Closing if moved => self.set_deadline(turn, id, Some(turn.now + CLOSE_STALL_TIMEOUT)),
             _ => {}
         }
     }
@@ -199,7 +199,7 @@
         s.inbound.clear();
         let _ = s.outbound.push(&last.0);
         self.record_close(turn, id, reason);
-        self.set_due(turn, id, Some(turn.now + CLOSE_STALL_TIMEOUT));
+        self.set_deadline(turn, id, Some(turn.now + CLOSE_STALL_TIMEOUT));
         self.flush(turn, id);
     }
 
@@ -219,12 +219,12 @@
     }
 
     /// Replaces the session's deadline; `None` removes it.
-    pub(super) fn set_due(&mut self, turn: &mut Turn, id: SessionId, due: Option<Micros>) {
+    pub(super) fn set_deadline(&mut self, turn: &mut Turn, id: SessionId, due: Option<Micros>) {
         let Some(s) = self.sessions.get_mut(&id) else { return };
-        if let Some(at) = s.due {
+        if let Some(at) = s.deadline {
             turn.deadlines.clear(at, DeadlineKind::Session(id));
         }
-        s.due = due;
+        s.deadline = due;
         if let Some(at) = due {
             turn.deadlines.set(at, DeadlineKind::Session(id));
         }
@@ -232,7 +232,7 @@
 
     /// Closes the connection immediately.
     pub(super) fn close(&mut self, turn: &mut Turn, id: SessionId) {
-        self.set_due(turn, id, None);
+        self.set_deadline(turn, id, None);
         if let Some(s) = self.sessions.remove(&id) {
             s.polled.close(turn);
         }
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -112,7 +112,7 @@
         frontend.flush(&mut turn, id);
     }
     frontend.close_with(&mut turn, id, Writer::default(), CloseReason::Idle);
-    turn.now = frontend.sessions[&id].due.expect("the session has a deadline");
+    turn.now = frontend.sessions[&id].deadline.expect("the session has a deadline");
     frontend.session_due(&mut turn, id);
     assert!(frontend.sessions.is_empty(), "a client that reads nothing is closed");
 }
@@ -330,6 +330,6 @@
     let mut pipeline = Pipeline::begin();
     pipeline.send(STOPPED, &read_query(1, 1_000)[..30]);
     pipeline.count_expired(1_100_000);
-    let due = pipeline.frontend.sessions[&pipeline.id].due.expect("the session has a deadline");
+    let due = pipeline.frontend.sessions[&pipeline.id].deadline.expect("the session has a deadline");
     assert_eq!(due, STOPPED + super::session::MESSAGE_TIMEOUT);
 }
--- a/crates/gradeshunt/src/pg.rs
+++ b/crates/gradeshunt/src/pg.rs
@@ -348,7 +348,7 @@
         at += pair.len() + 1;
         let (name, value) =
             pair.trim().split_once('=').ok_or("the routing comment has a name without a value")?;
-        let bad = |_| format!("the routing comment's {name} is not a number");
+        let not_a_number = |_| format!("the routing comment's {name} is not a number");
         match name {
             "id" => id = Some(value).filter(|v| (1..=MAX_ID_LENGTH).contains(&v.len())),
             "k" => has_key = !value.is_empty(),
@@ -356,11 +356,11 @@
             "t" => tenant = Some(value),
             "d" => {
                 let at = from + 2;
-                wait = Some((value.parse().map_err(bad)?, at..at + value.len()));
+                wait = Some((value.parse().map_err(not_a_number)?, at..at + value.len()));
             }
             "r" => repeat = value == "1",
-            "cluster" => cluster = Some(value.parse().map_err(bad)?),
-            "after" => after = Some(value.parse().map_err(bad)?),
+            "cluster" => cluster = Some(value.parse().map_err(not_a_number)?),
+            "after" => after = Some(value.parse().map_err(not_a_number)?),
             // Unknown names, which later versions may add, are passed on unchanged.
             _ => {}
         }
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -183,7 +183,7 @@
     /// Carries what the parts have for each other, until none has anything left.
     fn settle(&mut self) {
         loop {
-            if let Some(step) = self.core.step() {
+            if let Some(step) = self.core.next_step() {
                 self.take(step);
             } else if let Some(task) = self.shared.next(self.core.turn.now) {
                 if !self.worker.ask(task) {
@@ -233,7 +233,7 @@
     pub fn is_done(&self) -> bool {
         let process = ProcessFacts {
             must_leave: self.leave,
-            serving: self.frontend.may_accept_clients(),
+            serving: self.frontend.may_accept(),
             clients_open: self.frontend.has_clients(),
             requests_open: !self.core.exchange.is_idle(),
         };
@@ -247,7 +247,7 @@
     }
 
     fn on_event(&mut self, source: EventSource) {
-        self.core.event(source);
+        self.core.process_event(source);
         let (turn, exchange) = (&mut self.core.turn, &mut self.core.exchange);
         match source {
             EventSource::Listener => self.frontend.accept(turn),
@@ -265,7 +265,7 @@
     }
 
     fn on_deadline(&mut self, due: DeadlineKind) {
-        self.core.due(due);
+        self.core.process_deadline(due);
         let (turn, exchange) = (&mut self.core.turn, &mut self.core.exchange);
         match due {
             DeadlineKind::Module(_)
--- a/crates/gradeshunt/src/proxy/lifetime.rs
+++ b/crates/gradeshunt/src/proxy/lifetime.rs
@@ -64,7 +64,7 @@
     pub(super) fn serve(&mut self) {
         let Some(listener) = self.waiting.take() else { return };
         let listen = listener.local_addr().map(|a| a.to_string()).ok();
-        let opened = self.frontend.open(&mut self.core.turn, listener);
+        let opened = self.frontend.listen_for_clients(&mut self.core.turn, listener);
         self.serve_peers();
         self.shared.turn_to(Duty::Serving);
         if let Err(e) = opened {
--- a/crates/gradeshunt/src/routing/rules.rs
+++ b/crates/gradeshunt/src/routing/rules.rs
@@ -21,20 +21,21 @@
 /// As for [`parse`], except for errors that need the settings to be found.
 pub fn read_outline(path: &Path) -> Result<(Declared, Vec<(Match, String)>), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    let message = read(&text).map_err(|e| format!("{}:{e}", path.display()))?;
+    let message = parse_message(&text).map_err(|e| format!("{}:{e}", path.display()))?;
     let routes = message.list("route").into_iter().map(|r| {
-        let matches = r.inner("match").map_or_else(|| Ok(Match::default()), |m| matches(&m, &r.text("name")));
+        let matches =
+            r.inner("match").map_or_else(|| Ok(Match::default()), |m| parse_match(&m, &r.text("name")));
         matches.map(|m| (m, r.text("class")))
     });
     let routes = routes.collect::<Result<Vec<_>, _>>().map_err(|e| format!("{}:{e}", path.display()))?;
-    Ok((declared(&message), routes))
+    Ok((parse_declared(&message), routes))
 }
 
-fn read(text: &str) -> Result<Message, String> {
+fn parse_message(text: &str) -> Result<Message, String> {
     Schema::new("rules.proto", SCHEMA, "gradeshunt.Rules")?.parse(text)
 }
 
-fn declared(message: &Message) -> Declared {
+fn parse_declared(message: &Message) -> Declared {
     message.inner("functions").map_or_else(Declared::default, |f| Declared {
         reading: f.texts("reading"),
         writing: f.texts("writing"),
@@ -47,8 +48,9 @@
 /// # Errors
 /// The first error as a single line of text, preceded by its line number if it is one of syntax.
 pub fn parse(text: &str, facts: &Facts) -> Result<Rules, String> {
-    let message = read(text)?;
-    let routes = message.list("route").iter().map(|r| route(r, facts)).collect::<Result<Vec<_>, _>>()?;
+    let message = parse_message(text)?;
+    let routes =
+        message.list("route").iter().map(|r| parse_route(r, facts)).collect::<Result<Vec<_>, _>>()?;
     if routes.is_empty() {
         return Err(" no route is given".to_owned());
     }
@@ -57,7 +59,7 @@
             " no route accepts statements that may write: at least one needs a class for writes".to_owned()
         );
     }
-    let declared = declared(&message);
+    let declared = parse_declared(&message);
     let kb = match message.number("shapes_kb") {
         0 => DEFAULT_SHAPES_KB,
         kb => kb,
@@ -69,7 +71,7 @@
     })
 }
 
-fn route(route: &Message, facts: &Facts) -> Result<Route, String> {
+fn parse_route(route: &Message, facts: &Facts) -> Result<Route, String> {
     let name = route.text("name");
     let class = route.text("class");
     let classes = &facts.names;
@@ -87,7 +89,7 @@
     }
     let cluster = route.number("cluster");
     let wait = Some(route.number("deadline_ms")).filter(|ms| *ms > 0);
-    let matches = route.inner("match").map_or_else(|| Ok(Match::default()), |m| matches(&m, &name))?;
+    let matches = route.inner("match").map_or_else(|| Ok(Match::default()), |m| parse_match(&m, &name))?;
     Ok(Route {
         matches,
         class,
@@ -98,7 +100,7 @@
     })
 }
 
-fn matches(m: &Message, route: &str) -> Result<Match, String> {
+fn parse_match(m: &Message, route: &str) -> Result<Match, String> {
     let access = m.words("access").into_iter().map(|v| match v {
         1 => Ok(Access::Read),
         2 => Ok(Access::Write),
--- a/crates/gradeshunt/tests/faults.rs
+++ b/crates/gradeshunt/tests/faults.rs
@@ -29,12 +29,12 @@
 }
 
 /// Starts a process under the shim, which injects no faults yet.
-fn program(name: &str, config: Value, shell: &str) -> (Standalone, FaultControl) {
-    program_with(name, config, shell, &[])
+fn start_program(name: &str, config: Value, shell: &str) -> (Standalone, FaultControl) {
+    start_program_with(name, config, shell, &[])
 }
 
 /// Starts a process under the shim, which injects these faults from the start.
-fn program_with(
+fn start_program_with(
     name: &str,
     config: Value,
     shell: &str,
@@ -52,7 +52,7 @@
     (Standalone::start(start, |_| {}).expect("the process starts"), control)
 }
 
-fn read_of(id: usize) -> String {
+fn read_statement(id: usize) -> String {
     format!("/* id={id},c=page-read,d=300000,cluster=1 */ SELECT data FROM facts WHERE code = '{id:x}'")
 }
 
@@ -62,7 +62,7 @@
 }
 
 /// Opens the set of three db hosts that most tests need, and returns it with its configuration.
-fn site() -> (Site, Value) {
+fn open_site() -> (Site, Value) {
     let site = Site::open(Plan::default()).expect("a site");
     let config = site.config();
     (site, config)
@@ -75,15 +75,15 @@
 fn interrupted_calls_leave_no_request_without_an_answer() {
     const CLIENTS: usize = 8;
     const REQUESTS: usize = 60;
-    let (_site, config) = site();
-    let (program, control) = program("interrupted", config, "");
+    let (_site, config) = open_site();
+    let (program, control) = start_program("interrupted", config, "");
     drop(connect(&program));
     control.set(Knob::SocketInterrupted, 200).expect("the fault is configured");
     control.set(Knob::ShortTransfers, 200).expect("the fault is configured");
     let ask = |client: usize| {
         let mut connection = connect(&program);
         for request in 0..REQUESTS {
-            let reply = connection.query(&read_of(client * REQUESTS + request)).expect("an answer");
+            let reply = connection.query(&read_statement(client * REQUESTS + request)).expect("an answer");
             assert_eq!(reply.code(), None, "{reply:?}");
         }
     };
@@ -98,8 +98,8 @@
 /// configuration on SIGHUP and exits on SIGTERM.
 #[test]
 fn interrupted_read_of_a_signal_ends_nothing() {
-    let (_site, config) = site();
-    let (mut program, control) = program("interrupted-signal", config, "");
+    let (_site, config) = open_site();
+    let (mut program, control) = start_program("interrupted-signal", config, "");
     let mut client = connect(&program);
     control.set(Knob::OtherInterrupted, 900).expect("the fault is configured");
     let mut asked = 0;
@@ -107,7 +107,7 @@
         program.signal("-HUP");
         program.until_logged("configuration reread", STEP_TIMEOUT);
         asked += 1;
-        assert_eq!(client.query(&read_of(asked)).expect("an answer").code(), None);
+        assert_eq!(client.query(&read_statement(asked)).expect("an answer").code(), None);
     }
     drop(client);
     program.signal("-TERM");
@@ -118,24 +118,24 @@
 /// is space.
 #[test]
 fn log_is_written_again_after_its_disk_was_full() {
-    let (_site, config) = site();
-    let (mut program, control) = program("log-disk-full", config, "");
+    let (_site, config) = open_site();
+    let (mut program, control) = start_program("log-disk-full", config, "");
     let mut client = connect(&program);
     control.set(Knob::LogErrno, errno::ENOSPC).expect("the fault is configured");
     control.set(Knob::LogRate, 1000).expect("the fault is configured");
     let injected = || control.get(Knob::Injected).expect("the shim's counter is readable");
     // A protocol violation makes the process log a line.
-    let line = || {
+    let violate_protocol = || {
         let mut stranger: TcpStream = program.connect(STEP_TIMEOUT);
         stranger.write_all(&wire::message(b'?', &[b'?'; 60])).expect("the connection is open");
         assert_eq!(wire::read(&mut stranger).expect("an error").0, b'E');
     };
     while injected() == 0 {
-        line();
+        violate_protocol();
     }
     for id in 1..20 {
-        line();
-        assert_eq!(client.query(&read_of(id)).expect("an answer").code(), None);
+        violate_protocol();
+        assert_eq!(client.query(&read_statement(id)).expect("an answer").code(), None);
     }
     control.set(Knob::LogRate, 0).expect("the fault is configured");
     program.signal("-HUP");
@@ -149,26 +149,26 @@
 /// client is closed for it, and every new client is served.
 #[test]
 fn accept_that_fails_for_a_moment_closes_nobody() {
-    const RESTING: usize = 10;
+    const IDLE: usize = 10;
     const NEW: usize = 40;
-    let (_site, config) = site();
-    let (program, control) = program("accept-fails", config, "");
-    let mut resting: Vec<_> = (0..RESTING).map(|_| connect(&program)).collect();
-    for (id, client) in resting.iter_mut().enumerate() {
-        assert_eq!(client.query(&read_of(id)).expect("an answer").code(), None);
+    let (_site, config) = open_site();
+    let (program, control) = start_program("accept-fails", config, "");
+    let mut idle_clients: Vec<_> = (0..IDLE).map(|_| connect(&program)).collect();
+    for (id, client) in idle_clients.iter_mut().enumerate() {
+        assert_eq!(client.query(&read_statement(id)).expect("an answer").code(), None);
     }
     control.set(Knob::AcceptErrno, errno::ENFILE).expect("the fault is configured");
     control.set(Knob::AcceptRate, 500).expect("the fault is configured");
     for id in 0..NEW {
         let mut client = connect(&program);
-        assert_eq!(client.query(&read_of(100 + id)).expect("an answer").code(), None);
+        assert_eq!(client.query(&read_statement(100 + id)).expect("an answer").code(), None);
     }
     assert!(
         control.get(Knob::Injected).expect("the shim's counter is readable") > 0,
         "the shim injected no fault"
     );
-    for (id, client) in resting.iter_mut().enumerate() {
-        let reply = client.query(&read_of(1000 + id)).expect("the idle client was not closed");
+    for (id, client) in idle_clients.iter_mut().enumerate() {
+        let reply = client.query(&read_statement(1000 + id)).expect("the idle client was not closed");
         assert_eq!(reply.code(), None);
     }
 }
@@ -178,9 +178,9 @@
 /// read.
 #[test]
 fn reload_amid_the_start_ends_nothing() {
-    let (_site, mut config) = site();
+    let (_site, mut config) = open_site();
     let shell = "mkfifo \"$TMPDIR/config\"; export ROUTER_CONFIG=\"$TMPDIR/config\";";
-    let (program, _control) = program("reload-amid-start", config.clone(), shell);
+    let (program, _control) = start_program("reload-amid-start", config.clone(), shell);
     config["listen"] = serde_json::json!(program.addr.to_string());
     let pipe = program.folder.join("tmp/config");
     let write = |before: &dyn Fn()| {
@@ -196,7 +196,7 @@
     };
     write(&|| program.signal("-HUP"));
     let mut client = connect(&program);
-    assert_eq!(client.query(&read_of(1)).expect("an answer").code(), None);
+    assert_eq!(client.query(&read_statement(1)).expect("an answer").code(), None);
     write(&|| {});
     program.until_logged("configuration reread", STEP_TIMEOUT);
 }
@@ -212,12 +212,12 @@
 /// registers in the folder once there is space.
 #[test]
 fn full_shared_folder_at_the_start_is_not_fatal() {
-    let (_site, config) = site();
+    let (_site, config) = open_site();
     let faults = [(Knob::DiskErrno, errno::ENOSPC), (Knob::DiskRate, 1000)];
-    let (mut program, control) = program_with("folder-full", config, "", &faults);
+    let (mut program, control) = start_program_with("folder-full", config, "", &faults);
     until_injected(&control);
     let mut client = connect(&program);
-    assert_eq!(client.query(&read_of(1)).expect("an answer").code(), None);
+    assert_eq!(client.query(&read_statement(1)).expect("an answer").code(), None);
     control.set(Knob::DiskRate, 0).expect("the fault is configured");
     let place = program.folder.join("tmp/gradeshunt-6e30/process-0");
     let serving = || std::fs::read(&place).is_ok_and(|duty| duty == b"r");
@@ -238,12 +238,12 @@
 /// The system can't create sockets while a process starts: the process listens as soon as it can.
 #[test]
 fn start_waits_until_a_socket_can_be_created() {
-    let (_site, config) = site();
+    let (_site, config) = open_site();
     let faults = [(Knob::SocketErrno, errno::ENOBUFS), (Knob::SocketRate, 1000)];
-    let (program, control) = program_with("no-socket", config, "", &faults);
+    let (program, control) = start_program_with("no-socket", config, "", &faults);
     until_injected(&control);
     control.set(Knob::SocketRate, 0).expect("the fault is configured");
-    assert_eq!(connect(&program).query(&read_of(1)).expect("an answer").code(), None);
+    assert_eq!(connect(&program).query(&read_statement(1)).expect("an answer").code(), None);
 }
 
 /// SIGHUP arrives while clients use up all descriptors, so that the configuration file can't be opened: the
@@ -251,20 +251,20 @@
 #[test]
 fn reload_without_descriptors_is_made_up_for() {
     const DESCRIPTORS: usize = 40;
-    let (_site, config) = site();
-    let (program, _control) = program("reload-full", config, &format!("ulimit -n {DESCRIPTORS};"));
+    let (_site, config) = open_site();
+    let (program, _control) = start_program("reload-full", config, &format!("ulimit -n {DESCRIPTORS};"));
     drop(connect(&program));
-    let half = [wire::startup(&[("user", "portal")]), b"Q\0".to_vec()].concat();
-    let hold = |_| {
+    let incomplete_message = [wire::startup(&[("user", "portal")]), b"Q\0".to_vec()].concat();
+    let open_and_stop = |_| {
         let mut client = program.connect(STEP_TIMEOUT);
-        client.write_all(&half).expect("the connection is open");
+        client.write_all(&incomplete_message).expect("the connection is open");
         client
     };
-    let crowd: Vec<_> = (0..DESCRIPTORS).map(hold).collect();
+    let clients: Vec<_> = (0..DESCRIPTORS).map(open_and_stop).collect();
     program.until_logged("cannot accept connections", STEP_TIMEOUT);
     program.signal("-HUP");
     program.until_logged("Too many open files (os error 24)", STEP_TIMEOUT);
-    drop(crowd);
+    drop(clients);
     program.until_logged("configuration reread", STEP_TIMEOUT);
 }
 
@@ -275,14 +275,14 @@
 fn time_that_a_client_stood_in_the_backlog_counts() {
     const WAIT_MS: u64 = 900;
     const PASSED_MS: u64 = 500;
-    let (site, config) = site();
+    let (site, config) = open_site();
     (0..3).for_each(|host| site.sets[0].script(host, Rule::always("id=7,", Act::Hang)));
-    let (program, control) = program("backlog", config, "");
+    let (program, control) = start_program("backlog", config, "");
     let mut other = connect(&program);
-    assert_eq!(other.query(&read_of(1)).expect("an answer").code(), None);
+    assert_eq!(other.query(&read_statement(1)).expect("an answer").code(), None);
     control.set(Knob::AcceptErrno, errno::ENFILE).expect("the fault is configured");
     control.set(Knob::AcceptRate, 1000).expect("the fault is configured");
-    let within = |id: usize, ms: u64| read_of(id).replace("d=300000", &format!("d={ms}"));
+    let within = |id: usize, ms: u64| read_statement(id).replace("d=300000", &format!("d={ms}"));
     let mut client =
         Client::open(program.addr, &[("user", "portal")], STEP_TIMEOUT).expect("the client connects");
     client.ask(&within(8, WAIT_MS)).expect("the connection is open");
@@ -296,8 +296,8 @@
         .map(|ran| &ran.request)
         .find(|request| request.contains("id=8,"))
         .expect("the request ran");
-    let told = request.split(",d=").nth(1).and_then(|rest| rest.split(',').next()?.parse::<u64>().ok());
-    assert!(told.is_some_and(|told| told <= WAIT_MS - PASSED_MS + 150), "{request}");
+    let sent_wait = request.split(",d=").nth(1).and_then(|rest| rest.split(',').next()?.parse::<u64>().ok());
+    assert!(sent_wait.is_some_and(|wait| wait <= WAIT_MS - PASSED_MS + 150), "{request}");
 }
 
 /// One read or write of a socket in five fails for want of memory: the call is made again, and no connection
@@ -305,14 +305,14 @@
 #[test]
 fn out_of_memory_at_a_socket_loses_no_request() {
     const REQUESTS: usize = 200;
-    let (_site, config) = site();
+    let (_site, config) = open_site();
     for (name, number) in [("no-memory", errno::ENOMEM), ("no-buffers", errno::ENOBUFS)] {
-        let (program, control) = program(name, config.clone(), "");
+        let (program, control) = start_program(name, config.clone(), "");
         let mut client = connect(&program);
         control.set(Knob::WantErrno, number).expect("the fault is configured");
         control.set(Knob::WantRate, 200).expect("the fault is configured");
         for id in 0..REQUESTS {
-            assert_eq!(client.query(&read_of(id)).expect("an answer").code(), None);
+            assert_eq!(client.query(&read_statement(id)).expect("an answer").code(), None);
         }
         assert!(
             control.get(Knob::Injected).expect("the shim's counter is readable") > 0,
@@ -326,13 +326,13 @@
 #[test]
 fn transient_connect_failure_uses_up_no_attempts() {
     const MORE_THAN_ALL_ATTEMPTS: i64 = 20;
-    let (_site, config) = site();
+    let (_site, config) = open_site();
     for (name, number) in [("no-port", errno::EADDRNOTAVAIL), ("no-buffer", errno::ENOBUFS)] {
-        let (program, control) = program(name, config.clone(), "");
+        let (program, control) = start_program(name, config.clone(), "");
         let mut client = connect(&program);
         control.set(Knob::ConnectErrno, number).expect("the fault is configured");
         control.set(Knob::ConnectRate, 1000).expect("the fault is configured");
-        client.ask(&read_of(1)).expect("the connection is open");
+        client.ask(&read_statement(1)).expect("the connection is open");
         let began = Instant::now();
         while control.get(Knob::Injected).expect("the shim's counter is readable") < MORE_THAN_ALL_ATTEMPTS {
             assert!(began.elapsed() < STEP_TIMEOUT, "no more connects are tried: {}", program.log());
--- a/crates/gradeshunt/tests/plain.rs
+++ b/crates/gradeshunt/tests/plain.rs
@@ -53,8 +53,8 @@
     }
 
     /// Numbers of the db hosts that ran a statement containing this text.
-    fn ran(&self, holds: &str) -> Vec<usize> {
-        self.site.sets[0].ran().iter().filter(|r| r.request.contains(holds)).map(|r| r.host).collect()
+    fn hosts_that_ran(&self, text: &str) -> Vec<usize> {
+        self.site.sets[0].ran().iter().filter(|r| r.request.contains(text)).map(|r| r.host).collect()
     }
 
     /// Adds a rule to the scripts of all db hosts.
@@ -71,8 +71,8 @@
 /// replicas unchanged.
 #[test]
 fn writes_reach_only_the_primary() {
-    let stage = Setup::open("writes", Some(RULES));
-    let mut client = stage.client();
+    let setup = Setup::open("writes", Some(RULES));
+    let mut client = setup.client();
     let writes = [
         "SELECT record_vote(1)",
         "SELECT a FROM t ORDER BY record_vote(2)",
@@ -83,17 +83,17 @@
     ];
     for statement in writes {
         assert_eq!(ask(&mut client, statement).outcome_name(), "served", "{statement}");
-        assert_eq!(stage.ran(statement), [0], "{statement}");
+        assert_eq!(setup.hosts_that_ran(statement), [0], "{statement}");
     }
     let reads = ["SELECT turnout(7) FROM t  /* as it is */", "select 'DELETE' , 8"];
     for statement in reads {
         // A new session, which has no writes of its own to see and may read from a replica.
-        assert_eq!(ask(&mut stage.client(), statement).outcome_name(), "served", "{statement}");
-        let ran = stage.site.sets[0].ran();
+        assert_eq!(ask(&mut setup.client(), statement).outcome_name(), "served", "{statement}");
+        let ran = setup.site.sets[0].ran();
         let ran: Vec<_> = ran.iter().filter(|r| r.request == statement).map(|r| r.host).collect();
         assert!(ran.len() == 1 && ran[0] != 0, "{statement}: {ran:?}");
     }
-    let (status, figures) = stage.process.call("GET", "/shapes").expect("an answer");
+    let (status, figures) = setup.process.call("GET", "/shapes").expect("an answer");
     let lines = [
         "app_statements{access=\"read\"} 2",
         "app_statements{access=\"write\"} 5",
@@ -105,9 +105,9 @@
 /// A read sees what its own connection wrote before, however far replicas lag behind.
 #[test]
 fn session_reads_its_own_writes() {
-    let stage = Setup::open("own", Some(RULES));
-    (1..3).for_each(|n| stage.site.sets[0].set_lag(n, Duration::from_secs(3600)));
-    let mut client = stage.client();
+    let setup = Setup::open("own", Some(RULES));
+    (1..3).for_each(|n| setup.site.sets[0].set_lag(n, Duration::from_secs(3600)));
+    let mut client = setup.client();
     for n in 0..20 {
         let reply =
             ask(&mut client, &format!("INSERT INTO facts (code, data) VALUES ('a', '{n}') RETURNING data"));
@@ -120,19 +120,19 @@
 /// All messages of a result arrive in order, including notices, the row description and the command tag.
 #[test]
 fn whole_results_arrive() {
-    let stage = Setup::open("results", Some(RULES));
+    let setup = Setup::open("results", Some(RULES));
     let mut table = Table::of(&["station", "votes", "remark"], &[&["one", "17", "x"], &["two", "5", ""]]);
     table.rows[1][2] = None;
     table.notices = vec!["recounted".to_owned()];
-    stage.script_all_hosts(&Rule::always("FROM tallies", Act::Answer(table.clone())));
-    stage.script_all_hosts(&Rule::always("FROM nobody", Act::Answer(Table::of(&["station"], &[]))));
+    setup.script_all_hosts(&Rule::always("FROM tallies", Act::Answer(table.clone())));
+    setup.script_all_hosts(&Rule::always("FROM nobody", Act::Answer(Table::of(&["station"], &[]))));
     let silent = Table { tag: "VACUUM".to_owned(), ..Table::default() };
-    stage.script_all_hosts(&Rule::always("VACUUM", Act::Answer(silent)));
-    stage.script_all_hosts(&Rule::always(
+    setup.script_all_hosts(&Rule::always("VACUUM", Act::Answer(silent)));
+    setup.script_all_hosts(&Rule::always(
         "FROM typo",
         Act::Refuse { code: "42P01".to_owned(), text: "no such table".to_owned() },
     ));
-    let mut client = stage.client();
+    let mut client = setup.client();
     let reply = ask(&mut client, "SELECT * FROM tallies");
     assert_eq!(
         (reply.order.as_str(), &reply.rows, reply.tag.as_deref()),
@@ -155,70 +155,70 @@
 /// off, the client gets an error and can't mistake it for a complete result.
 #[test]
 fn large_results_arrive_at_the_readers_pace() {
-    let stage = Setup::open("large", Some(RULES));
+    let setup = Setup::open("large", Some(RULES));
     let rows: Vec<_> = (0..20_000).map(|n| vec![Some(format!("{n:0>200}").into_bytes()), None]).collect();
     let table = Table { columns: vec!["a".to_owned(), "b".to_owned()], rows, ..Table::default() };
-    stage.script_all_hosts(&Rule::always("FROM large", Act::Answer(table.clone())));
-    let mut client = stage.client();
+    setup.script_all_hosts(&Rule::always("FROM large", Act::Answer(table.clone())));
+    let mut client = setup.client();
     for _ in 0..3 {
         let reply = ask(&mut client, "SELECT * FROM large");
         assert_eq!(reply.rows.len(), table.rows.len());
         assert!(reply.rows == table.rows && reply.tag.as_deref() == Some("SELECT 20000"));
     }
-    stage.site.sets[0].clear_scripts();
-    stage.script_all_hosts(&Rule::always("FROM large", Act::CutAfter(table, 2_000_000)));
+    setup.site.sets[0].clear_scripts();
+    setup.script_all_hosts(&Rule::always("FROM large", Act::CutAfter(table, 2_000_000)));
     assert!(client.query("SELECT * FROM large").is_err(), "the connection ends in the middle of the rows");
 }
 
 /// A plain write that may have run is never sent again: it has no idempotency key, so it could run twice.
 #[test]
 fn a_write_that_may_have_run_is_not_repeated() {
-    let stage = Setup::open("once", Some(RULES));
+    let setup = Setup::open("once", Some(RULES));
     // A read is safe to repeat and is sent again.
-    (1..3).for_each(|n| stage.site.sets[0].script(n, Rule::once("SELECT 'again'", Act::ResetBefore)));
-    assert_eq!(ask(&mut stage.client(), "SELECT 'again'").outcome_name(), "served");
-    stage.script_all_hosts(&Rule::always("VALUES ('a'", Act::ResetAfter));
-    let mut client = stage.client();
+    (1..3).for_each(|n| setup.site.sets[0].script(n, Rule::once("SELECT 'again'", Act::ResetBefore)));
+    assert_eq!(ask(&mut setup.client(), "SELECT 'again'").outcome_name(), "served");
+    setup.script_all_hosts(&Rule::always("VALUES ('a'", Act::ResetAfter));
+    let mut client = setup.client();
     let reply = ask(&mut client, "INSERT INTO facts (code, data) VALUES ('a', '1')");
     assert_eq!(reply.outcome_name(), "failed", "{reply:?}");
-    assert_eq!(stage.ran("VALUES ('a'"), [0]);
+    assert_eq!(setup.hosts_that_ran("VALUES ('a'"), [0]);
 }
 
 /// A write whose routing comment names a reading class still goes to the primary.
 #[test]
 fn reading_class_in_a_comment_does_not_redirect_a_write() {
-    let stage = Setup::open("less", Some(RULES));
-    let mut client = stage.client();
+    let setup = Setup::open("less", Some(RULES));
+    let mut client = setup.client();
     let statement = "/* id=1,c=own-read,d=60000,cluster=1 */ SELECT record_vote('a')";
     assert_eq!(ask(&mut client, statement).outcome_name(), "served");
-    assert_eq!(stage.ran("record_vote"), [0]);
-    let (_, figures) = stage.process.call("GET", "/shapes").expect("an answer");
+    assert_eq!(setup.hosts_that_ran("record_vote"), [0]);
+    let (_, figures) = setup.process.call("GET", "/shapes").expect("an answer");
     assert!(figures.contains("app_contradictions 1\n"), "{figures}");
 }
 
 /// On SIGHUP, an invalid rules file leaves the old rules in force, and a valid one replaces them.
 #[test]
 fn rules_are_reread() {
-    let mut stage = Setup::open("reread", Some(RULES));
-    let file = stage.folder.join("rules.textproto");
+    let mut setup = Setup::open("reread", Some(RULES));
+    let file = setup.folder.join("rules.textproto");
     std::fs::write(&file, RULES.replace("cluster: 1", "clutser: 1")).expect("a file");
-    stage.process.signal("HUP").expect("the signal is sent");
-    let line = stage.process.until("configuration kept").expect("the process logs it");
+    setup.process.signal("HUP").expect("the signal is sent");
+    let line = setup.process.until("configuration kept").expect("the process logs it");
     assert!(line.contains("rules.textproto:2:"), "{line}");
-    assert_eq!(ask(&mut stage.client(), "SELECT 1").outcome_name(), "served");
+    assert_eq!(ask(&mut setup.client(), "SELECT 1").outcome_name(), "served");
     let writes_only = "route { match { access: WRITE } class: \"plain-write\" cluster: 1 }";
     std::fs::write(&file, writes_only).expect("a file");
-    stage.process.signal("HUP").expect("the signal is sent");
-    stage.process.until("configuration reread").expect("the process logs it");
-    assert_eq!(ask(&mut stage.client(), "SELECT 1").code(), Some("42501"));
-    let _ = stage.platform.config();
+    setup.process.signal("HUP").expect("the signal is sent");
+    setup.process.until("configuration reread").expect("the process logs it");
+    assert_eq!(ask(&mut setup.client(), "SELECT 1").code(), Some("42501"));
+    let _ = setup.platform.config();
 }
 
 #[test]
 fn without_rules_plain_statements_are_refused() {
-    let stage = Setup::open("none", None);
-    assert_eq!(ask(&mut stage.client(), "SELECT 1").code(), Some("22023"));
-    assert_eq!(stage.process.call("GET", "/shapes").expect("an answer").0, 404);
+    let setup = Setup::open("none", None);
+    assert_eq!(ask(&mut setup.client(), "SELECT 1").code(), Some("22023"));
+    assert_eq!(setup.process.call("GET", "/shapes").expect("an answer").0, 404);
 }
 
 /// Gives replies the name of their outcome, in the categories of these tests.
--- a/crates/measure/src/capacity/hollow.rs
+++ b/crates/measure/src/capacity/hollow.rs
@@ -56,7 +56,7 @@
 
 impl Hollow {
     fn settle(&mut self) {
-        while let Some(step) = self.core.step() {
+        while let Some(step) = self.core.next_step() {
             match step {
                 Step::List(list) => self.list(&list),
                 Step::Order(_) | Step::Answer(..) => self.heard.unanswered += 1,
@@ -86,12 +86,12 @@
     }
 
     fn on_event(&mut self, source: EventSource) {
-        self.core.event(source);
+        self.core.process_event(source);
         self.settle();
     }
 
     fn on_deadline(&mut self, due: DeadlineKind) {
-        self.core.due(due);
+        self.core.process_deadline(due);
         self.settle();
     }
 }
