--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -127,6 +127,7 @@
         self.listener.socket.local_addr().ok()
     }
 
+    /// Accepts connections of operators.
     pub fn accept(&mut self, turn: &mut Turn) {
         // At most as many per turn as may be open at a time, so that accepted callers are served before more
         // come.
@@ -151,6 +152,7 @@
         turn.unfinished.push(EventSource::Control);
     }
 
+    /// Starts to serve an accepted connection; if there are too many, closes another one first.
     fn accept_caller(&mut self, turn: &mut Turn, socket: TcpStream) -> io::Result<()> {
         if self.callers.len() >= self.max_callers {
             // Closes the oldest connection that is answered or has nothing unread; if there is none, the
@@ -178,8 +180,8 @@
         Ok(())
     }
 
-    /// Reads and writes as far as possible. Returns a complete call once; the caller must follow it with
-    /// [`Control::respond`].
+    /// Reads and writes as far as possible. Returns a complete call once; the proxy carries it out and
+    /// then calls [`Control::respond`].
     pub fn ready(&mut self, turn: &mut Turn, id: CallerId) -> Option<Command> {
         loop {
             let c = self.callers.get_mut(&id)?;
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -124,7 +124,7 @@
                 break;
             }
             full = s.inbound.is_full();
-            match s.inbound.fill(&s.polled.socket, arrived) {
+            match s.inbound.read_from(&s.polled.socket, arrived) {
                 Ok(Transfer::Bytes(_)) if s.is_closing() => s.inbound.clear(),
                 Ok(Transfer::Bytes(_)) => {
                     // Refusing one large request is better than having the process killed for its memory use.
--- a/crates/gradeshunt/src/inbound.rs
+++ b/crates/gradeshunt/src/inbound.rs
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// Errors of the socket, except that it would block.
-    pub fn fill(&mut self, socket: &TcpStream, at: Micros) -> io::Result<Transfer> {
+    pub fn read_from(&mut self, socket: &TcpStream, at: Micros) -> io::Result<Transfer> {
         let moved = self.ring.read_from(socket)?;
         if let Transfer::Bytes(_) = moved {
             let end = self.arrivals.consumed + self.ring.len() as u64;
--- a/crates/gradeshunt/src/pg.rs
+++ b/crates/gradeshunt/src/pg.rs
@@ -365,11 +365,11 @@
             _ => {}
         }
     }
-    let (wait_ms, wait_at) = wait.ok_or("the routing comment has no d")?;
+    let (wait_ms, wait_span) = wait.ok_or("the routing comment has no d")?;
     let id = id.ok_or("the routing comment has no usable id")?;
     let class = class.ok_or("the routing comment has no c")?;
     let cluster = cluster.ok_or("the routing comment has no cluster")?;
-    Ok(RoutingComment { id, has_key, class, tenant, wait_ms, wait_span: wait_at, repeat, cluster, after })
+    Ok(RoutingComment { id, has_key, class, tenant, wait_ms, wait_span, repeat, cluster, after })
 }
 
 /// Returns the first quoted literal after the comment; it identifies the session.
