--- a/crates/gradeshunt/src/cycle.rs
+++ b/crates/gradeshunt/src/cycle.rs
@@ -49,8 +49,8 @@
 
     /// Returns how long a turn may wait for sources: zero if work is left, `None` if there is no deadline.
     pub fn wait(core: &Core) -> Option<Duration> {
-        let until = core.turn.deadlines.earliest();
-        let wait = until.map(|at| (at - core.turn.clock.now()).max(0));
+        let next_deadline = core.turn.deadlines.earliest();
+        let wait = next_deadline.map(|at| (at - core.turn.clock.now()).max(0));
         let wait = if core.turn.unfinished.is_empty() { wait } else { Some(0) };
         wait.map(|t| Duration::from_micros(t as u64))
     }
@@ -62,9 +62,9 @@
     ///
     /// If polling fails.
     pub fn run_turn(&mut self, handlers: &mut impl Handlers, wait: Option<Duration>) -> Result<(), String> {
-        let until = handlers.core().turn.deadlines.earliest();
+        let next_deadline = handlers.core().turn.deadlines.earliest();
         self.event_loop.dispatch(wait, &mut self.ready).map_err(|e| format!("cannot poll: {e}"))?;
-        let mut sources = self.begin_turn(handlers.core(), until);
+        let mut sources = self.begin_turn(handlers.core(), next_deadline);
         sources.sort_by_key(|source| source_order(*source));
         for source in sources {
             handlers.on_event(source);
@@ -81,13 +81,13 @@
         Ok(())
     }
 
-    /// Sets the clocks for a new turn and returns the sources to process.
-    fn begin_turn(&mut self, core: &mut Core, until: Option<leadmast::Micros>) -> Vec<EventSource> {
+    /// Updates the clock and the turn's times, and returns the sources to process.
+    fn begin_turn(&mut self, core: &mut Core, next_deadline: Option<leadmast::Micros>) -> Vec<EventSource> {
         if core.turn.clock.observe() {
             info!(core.turn.log, "the wall clock was stepped"; "ms" => core.turn.clock.candidate_step() / 1000);
         }
         core.turn.now = core.turn.clock.now();
-        core.loop_stats.begin(core.turn.now, until);
+        core.loop_stats.begin(core.turn.now, next_deadline);
         core.turn.unread_for = core.loop_stats.unread();
         let unfinished = std::mem::take(&mut core.turn.unfinished);
         unfinished.into_iter().chain(self.ready.drain(..)).collect()
@@ -121,7 +121,7 @@
 
 /// Records that a source or deadline of this kind is processed, and advances the turn's time. Without this,
 /// requests at the end of a long turn would send their db hosts a remaining wait that includes time the turn
-/// has already used. Whatever is processed next has been waiting since before the turn, so `unread` grows by
+/// has already used. Whatever is processed next has been waiting since before the turn, so `unread_for` grows by
 /// the same amount.
 fn record_processed(core: &mut Core, name: &'static str) {
     let now = core.turn.clock.now();
--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -32,8 +32,8 @@
 /// unread, so that the output ring always has room for one more answer.
 const MAX_UNREAD_BYTES: usize = MAX_RING_SIZE - MAX_BUFFERED_ANSWER - 1024;
 // A final answer always fits into the output ring behind the bytes that the client has not read yet. Those
-// are at most `MAX_UNREAD_BYTES` when a request starts; of a streamed result, at most `ROOM` and one whole row
-// are buffered.
+// are at most `MAX_UNREAD_BYTES` when a request starts; of a streamed result, at most `ROOM` and one whole
+// row are buffered.
 const _: () = assert!(
     MAX_UNREAD_BYTES + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
         && ROOM + MAX_BUFFERED_ROW + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
@@ -59,7 +59,7 @@
 pub struct Frontend {
     listener: Option<Polled<TcpListener>>,
     /// The time since which connections may have waited in the listen backlog because accepting them failed:
-    /// of clients [0] and of other proxies [1].
+    /// first of clients, then of other proxies.
     backlog_since: [Option<Micros>; 2],
     /// The listener for other proxies, and the names of the proxies that may connect to it.
     peer_listener: Option<Polled<TcpListener>>,
@@ -91,7 +91,7 @@
 }
 
 impl Frontend {
-    /// Creates a client side without listeners; [`Frontend::open`] adds the clients' listener.
+    /// Creates a client side without listeners; [`Frontend::listen_for_clients`] adds the clients' listener.
     pub fn new(settings: Settings, names: Names) -> Self {
         Frontend {
             listener: None,
