--- a/crates/gradeshunt/src/cycle.rs
+++ b/crates/gradeshunt/src/cycle.rs
@@ -121,8 +121,8 @@
 
 /// Records that a source or deadline of this kind is processed, and advances the turn's time. Without this,
 /// requests at the end of a long turn would send their db hosts a remaining wait that includes time the turn
-/// has already used. Whatever is processed next has been waiting since before the turn, so `unread_for` grows by
-/// the same amount.
+/// has already used. Whatever is processed next has been waiting since before the turn, so `unread_for` grows
+/// by the same amount.
 fn record_processed(core: &mut Core, name: &'static str) {
     let now = core.turn.clock.now();
     core.loop_stats.worked(name, now);
--- a/crates/gradeshunt/src/frontend/messages.rs
+++ b/crates/gradeshunt/src/frontend/messages.rs
@@ -39,12 +39,12 @@
                 turn.unfinished.push(EventSource::Session(id));
                 break;
             }
-            let step = match s.stage {
+            let processed = match s.stage {
                 Stage::Startup => self.process_startup(turn, exchange, id),
                 Stage::Ready => self.process_message(turn, exchange, id),
                 Stage::Waiting(_) | Stage::Closing | Stage::Lingering => break,
             };
-            match step {
+            match processed {
                 Ok(true) => {}
                 Ok(false) => break,
                 Err(Malformed(what)) => {
@@ -64,14 +64,14 @@
     /// bytes do not extend.
     fn set_message_deadline(&mut self, turn: &mut Turn, id: SessionId) {
         let Some(s) = self.sessions.get(&id) else { return };
-        let part = match s.stage {
+        let incomplete_since = match s.stage {
             Stage::Startup | Stage::Closing | Stage::Lingering => return,
             Stage::Ready => s.inbound.first_arrival().filter(|_| s.outbound.len() <= MAX_UNREAD_BYTES),
             Stage::Waiting(_) => None,
         };
         // The time counts from the message's first byte, however long the message waited behind a request in
         // progress.
-        self.set_deadline(turn, id, part.map(|arrived| arrived + MESSAGE_TIMEOUT));
+        self.set_deadline(turn, id, incomplete_since.map(|arrived| arrived + MESSAGE_TIMEOUT));
     }
 
     /// Processes the startup packet, if it is complete. Returns whether to continue with the next message.
--- a/crates/gradeshunt/src/frontend/statements.rs
+++ b/crates/gradeshunt/src/frontend/statements.rs
@@ -52,16 +52,17 @@
             return Ok(QueryOutcome::Reply(w.message(b'C', &[verb.as_bytes(), b"\0"]).ready()));
         }
         let source = self.sessions.get(&session).map_or(Source::Client, |s| s.source);
-        let c = match pg::parse_routing_comment(statement) {
+        let routing = match pg::parse_routing_comment(statement) {
             // Other proxies forward only statements with a routing comment, since a plain statement depends
             // on its session, which the forwarding proxy holds.
             Err(_) if self.router.is_some() && source == Source::Client => {
                 return self.route_plain(turn, session, text, arrived)
             }
-            c => c?,
+            parsed => parsed?,
         };
-        let mut class = self.names.class(c.class).ok_or_else(|| format!("unknown class {:?}", c.class))?;
-        let mut group = GroupId(c.cluster);
+        let mut class =
+            self.names.class(routing.class).ok_or_else(|| format!("unknown class {:?}", routing.class))?;
+        let mut group = GroupId(routing.cluster);
         if let (Some(router), Some(s)) = (&mut self.router, self.sessions.get_mut(&session)) {
             if let Some(decision) = router.override_class(&self.settings, &s.origin, statement, class) {
                 match route_or_reply(decision) {
@@ -72,25 +73,25 @@
         }
         let (read, effect) = (self.settings.classes[class.0].read, self.settings.classes[class.0].effect);
         // Another client waits for the answer of this id and must not be mixed up with this one.
-        if self.open_ids.contains(c.id) {
+        if self.open_ids.contains(routing.id) {
             return Err("the id is that of an open request".to_owned());
         }
-        if matches!(effect, Effect::Keyed { .. }) && !c.has_key {
-            return Err(format!("a request of class {:?} needs a key k", c.class));
+        if matches!(effect, Effect::Keyed { .. }) && !routing.has_key {
+            return Err(format!("a request of class {:?} needs a key k", routing.class));
         }
         let key = matches!(read, ReadLevel::Session | ReadLevel::Write).then(|| pg::first_literal(statement));
         let key = key.flatten().map(|k| u64::from_str_radix(k, 16).unwrap_or_else(|_| fnv(k)));
-        let after = c.after.filter(|_| read == ReadLevel::Session);
+        let after = routing.after.filter(|_| read == ReadLevel::Session);
         // At least one, so that a commit of this very moment still counts.
         let since_write = after.map(|ms| (turn.now - turn.clock.latest_at_unix_ms(ms as f64)).max(1));
         // The class's deadline bounds the wait that the client asks for.
-        let wait = (Micros::from(c.wait_ms) * 1000).min(self.settings.classes[class.0].deadline);
+        let wait = (Micros::from(routing.wait_ms) * 1000).min(self.settings.classes[class.0].deadline);
         let deadline = self.deadline(arrived, wait);
-        let id = Rc::from(c.id);
-        let (repeat, wait_at) = (c.repeat, c.wait_span);
-        let tenant = c.tenant.and_then(|t| self.names.tenant(t));
-        debug!(turn.log, "request"; "class" => class.0, "wait_ms" => c.wait_ms);
-        let body = Body::new(text, Some(wait_at), Form::Value);
+        let id = Rc::from(routing.id);
+        let (repeat, wait_span) = (routing.repeat, routing.wait_span);
+        let tenant = routing.tenant.and_then(|t| self.names.tenant(t));
+        debug!(turn.log, "request"; "class" => class.0, "wait_ms" => routing.wait_ms);
+        let body = Body::new(text, Some(wait_span), Form::Value);
         let checked = true;
         let call = Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body };
         Ok(QueryOutcome::Request(Box::new(call), id))
--- a/crates/gradeshunt/src/inbound.rs
+++ b/crates/gradeshunt/src/inbound.rs
@@ -113,8 +113,8 @@
         self.ring.bytes()
     }
 
-    /// Reads once from the socket. The bytes count as arrived at `at`, or earlier if [`InputBuffer::record_unread`]
-    /// saw them.
+    /// Reads once from the socket. The bytes count as arrived at `at`, or earlier if
+    /// [`InputBuffer::record_unread`] saw them.
     ///
     /// # Errors
     ///
--- a/crates/gradeshunt/src/pg.rs
+++ b/crates/gradeshunt/src/pg.rs
@@ -147,8 +147,8 @@
     Ok(Some((*tag, size)))
 }
 
-/// Returns the size of a DataRow of one column that is larger than [`MAX_BUFFERED_ROW`]. Returns `None` while its
-/// header is incomplete, and for any other message.
+/// Returns the size of a DataRow of one column that is larger than [`MAX_BUFFERED_ROW`]. Returns `None` while
+/// its header is incomplete, and for any other message.
 pub fn long_row_size(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     let (Some(b'D'), Some(length), Some(value)) = (bytes.first(), be32(bytes, 1), be32(bytes, 7)) else {
         return Ok(None);
--- a/crates/gradeshunt/src/ring.rs
+++ b/crates/gradeshunt/src/ring.rs
@@ -151,9 +151,9 @@
     }
 }
 
-/// Retries a system call while signals interrupt it, and up to [`MAX_MEMORY_RETRIES`] times if the system lacks
-/// memory for it. The poll is edge-triggered and reports a socket again only after a call that would block,
-/// so whoever stops after another error is never woken.
+/// Retries a system call while signals interrupt it, and up to [`MAX_MEMORY_RETRIES`] times if the system
+/// lacks memory for it. The poll is edge-triggered and reports a socket again only after a call that would
+/// block, so whoever stops after another error is never woken.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let mut memory_retries = 0;
     loop {
