--- a/crates/gradeshunt/src/backend/reply.rs
+++ b/crates/gradeshunt/src/backend/reply.rs
@@ -1,46 +1,48 @@
-//! One reply of a db host, as far as it has come: its messages are checked and kept until it is whole.
+//! A db host's reply as far as it has arrived: its messages are checked and kept until it is complete.
 
 use leadmast::{Ending, Micros};
 
-use crate::exchange::Form;
-use crate::memory::Held;
+use crate::exchange::AnswerForm;
+use crate::memory::BufferBytes;
 use crate::pg::{self, sqlstate, Malformed, Writer};
 
-/// A reply as far as it has come. Each job begins with a fresh one: nothing of an earlier reply stays.
+/// A reply as far as it has arrived. Each job starts with a new one, so that nothing of an earlier reply
+/// remains.
 #[derive(Debug, Default)]
 pub(super) struct Reply {
-    /// What it has to be.
-    pub(super) form: Form,
+    /// The shape that the answer must have.
+    pub(super) form: AnswerForm,
     pub(super) bytes: Vec<u8>,
-    pub(super) held: Held,
-    pub(super) shape: Shape,
-    /// When bytes of a long answer were last passed on; it has begun then.
-    pub(super) passed: Option<Micros>,
+    pub(super) held: BufferBytes,
+    pub(super) progress: ReplyProgress,
+    /// When bytes of a long answer were last passed on; `None` before the first.
+    pub(super) last_passed_on: Option<Micros>,
     pub(super) error: Option<String>,
     pub(super) row: Option<Vec<u8>>,
-    /// As it was told: Unix time in milliseconds.
+    /// The reported position: Unix time in milliseconds.
     pub(super) position: Option<f64>,
     pub(super) primary: Option<bool>,
-    /// An answer has come that may be a copy of an earlier one, and none of the request's own.
-    pub(super) may_be_copy: bool,
+    /// Whether an answer has arrived that may be a duplicate of an earlier one, and none that is certainly
+    /// the request's own.
+    pub(super) may_be_duplicate: bool,
 }
 
-/// How far the one row of an answer has come: anything in another order is none.
+/// How much of an answer has arrived. Messages in any other order are malformed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Shape {
+pub(super) enum ReplyProgress {
     #[default]
     Nothing,
     Described,
-    /// So much of a long row is yet to be passed on.
-    Passing(usize),
+    /// A long row is being passed on; this many bytes of it are left.
+    Streaming(usize),
     Row,
     Complete,
 }
 
 impl Reply {
-    /// Takes one message; true at ReadyForQuery, which ends the reply.
-    pub(super) fn take(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
-        if self.form == Form::Result {
+    /// Takes one message. Returns true at ReadyForQuery, which ends the reply.
+    pub(super) fn handle_message(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
+        if self.form == AnswerForm::Result {
             return self.take_result(message);
         }
         match message.tag {
@@ -56,20 +58,20 @@
                 self.bytes.clear();
                 self.append(message)?;
             }
-            b'T' if self.shape == Shape::Nothing => {
+            b'T' if self.progress == ReplyProgress::Nothing => {
                 pg::check_description(message.body)?;
-                self.shape = Shape::Described;
+                self.progress = ReplyProgress::Described;
                 self.append(message)?;
             }
-            b'D' if self.shape == Shape::Described => {
+            b'D' if self.progress == ReplyProgress::Described => {
                 pg::check_row(message.body)?;
                 self.row = pg::first_column(message.body).ok().map(<[u8]>::to_vec);
-                self.shape = Shape::Row;
+                self.progress = ReplyProgress::Row;
                 self.append(message)?;
             }
-            b'C' if self.shape == Shape::Row => {
+            b'C' if self.progress == ReplyProgress::Row => {
                 pg::parse_string(message.body)?;
-                self.shape = Shape::Complete;
+                self.progress = ReplyProgress::Complete;
                 self.append(message)?;
             }
             _ => return Err(Malformed("not one row of one column")),
@@ -77,28 +79,28 @@
         Ok(false)
     }
 
-    /// Takes one message of a whole result, any rows of any columns, and keeps all that is the client's; true at
-    /// ReadyForQuery, and only then is the result whole.
+    /// Takes one message of a result with any number of rows and columns, and keeps the messages that are
+    /// meant for the client. Returns true at ReadyForQuery; only then is the result complete.
     fn take_result(&mut self, message: &pg::Message) -> Result<bool, Malformed> {
         match message.tag {
-            b'Z' if self.shape != Shape::Row && self.error.is_none() => {
+            b'Z' if self.progress != ReplyProgress::Row && self.error.is_none() => {
                 return Err(Malformed("ReadyForQuery without an answer"))
             }
-            // Whoever got this connection next would find itself in it.
-            b'Z' if message.body != b"I" => return Err(Malformed("it leaves a transaction open")),
+            // The next request on this connection would run inside that transaction.
+            b'Z' if message.body != b"I" => return Err(Malformed("the request leaves a transaction open")),
             b'Z' => {
-                self.shape = Shape::Complete;
+                self.progress = ReplyProgress::Complete;
                 return Ok(true);
             }
             b'S' if self.take_status(message) => {}
             b'S' | b'N' => self.append(message)?,
             b'A' => {}
-            _ if self.error.is_some() || self.shape == Shape::Row => {
+            _ if self.error.is_some() || self.progress == ReplyProgress::Row => {
                 return Err(Malformed("more than one answer"))
             }
-            b'E' if self.passed.is_some() => {
-                // The client has rows of it already, and is owed the rest of the story.
-                self.shape = Shape::Row;
+            b'E' if self.last_passed_on.is_some() => {
+                // The client already has some of its rows, so the error is passed on as part of the result.
+                self.progress = ReplyProgress::Row;
                 self.append(message)?;
             }
             b'E' => {
@@ -106,31 +108,32 @@
                 self.bytes.clear();
                 self.append(message)?;
             }
-            b'T' if self.shape == Shape::Nothing => {
-                self.shape = Shape::Described;
+            b'T' if self.progress == ReplyProgress::Nothing => {
+                self.progress = ReplyProgress::Described;
                 self.append(message)?;
             }
-            b'D' if self.shape == Shape::Described => self.append(message)?,
+            b'D' if self.progress == ReplyProgress::Described => self.append(message)?,
             b'C' | b'I' => {
-                self.shape = Shape::Row;
+                self.progress = ReplyProgress::Row;
                 self.append(message)?;
             }
-            _ => return Err(Malformed("not a result")),
+            _ => return Err(Malformed("not a valid result")),
         }
         Ok(false)
     }
 
-    /// Whether nothing of an answer has come.
+    /// Whether nothing of an answer has arrived.
     pub(super) fn is_empty(&self) -> bool {
-        self.shape == Shape::Nothing && self.error.is_none()
+        self.progress == ReplyProgress::Nothing && self.error.is_none()
     }
 
-    /// Whether more of a result waits to be passed on than is held of an answer.
+    /// Whether more bytes of a result wait to be passed on than are kept of an answer.
     pub(super) fn is_full(&self) -> bool {
-        self.form == Form::Result && self.bytes.len() > pg::MAX_BUFFERED_ROW
+        self.form == AnswerForm::Result && self.bytes.len() > pg::MAX_BUFFERED_ROW
     }
 
-    /// What a db host tells of itself; false where a ParameterStatus is none of that.
+    /// Takes a ParameterStatus message that reports the db host's own state. Returns false for any other
+    /// parameter.
     fn take_status(&mut self, message: &pg::Message) -> bool {
         match pg::parse_parameter_status(message.body) {
             Some(("log_position", value)) => {
@@ -144,7 +147,7 @@
     }
 
     fn append(&mut self, message: &pg::Message) -> Result<(), Malformed> {
-        let before = if self.form == Form::Result { 0 } else { self.bytes.len() };
+        let before = if self.form == AnswerForm::Result { 0 } else { self.bytes.len() };
         if before + message.size > pg::MAX_BUFFERED_ANSWER {
             return Err(Malformed("the answer is too long"));
         }
@@ -153,15 +156,15 @@
         Ok(())
     }
 
-    /// The error that it is, with the position that it tells; `None` where it is none or tells none.
-    pub(super) fn told_error(&self) -> Option<(String, f64)> {
+    /// The error code and the reported position; `None` if the reply is not an error or reports no position.
+    pub(super) fn error_with_position(&self) -> Option<(String, f64)> {
         self.error.clone().zip(self.position)
     }
 
-    /// How the attempt has ended, by what has come; `None` while the answer is not whole.
+    /// The ending of the attempt by what has arrived; `None` while the answer is incomplete.
     pub(super) fn ending(&self) -> Option<Ending> {
         match self.error.as_deref() {
-            None => (self.shape == Shape::Complete).then_some(Ending::Ok),
+            None => (self.progress == ReplyProgress::Complete).then_some(Ending::Ok),
             Some(sqlstate::READ_ONLY | sqlstate::SNAPSHOT_TOO_OLD) => Some(Ending::Miss),
             Some(sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW) => Some(Ending::Full),
             Some(_) => Some(Ending::Error),
--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -11,7 +11,7 @@
 
 use crate::accept_failure::AcceptFailure;
 use crate::deadlines::DeadlineKind;
-use crate::figures::{Count, Figures};
+use crate::figures::{Metrics, OutcomeCounts};
 use crate::ids::CallerId;
 use crate::ring::{Ring, Transfer};
 use crate::turn::{self, EventSource, Polled, Turn};
@@ -138,10 +138,10 @@
                         warn!(turn.log, "cannot serve an operator's connection"; "error" => e.to_string());
                     }
                 }
-                Err(e) => match AcceptFailure::of(&e) {
-                    AcceptFailure::NoneWaits => return,
-                    AcceptFailure::ThatConnection => {}
-                    AcceptFailure::Descriptors | AcceptFailure::System => {
+                Err(e) => match AcceptFailure::from_error(&e) {
+                    AcceptFailure::NoneWaiting => return,
+                    AcceptFailure::BrokenConnection => {}
+                    AcceptFailure::OutOfDescriptors | AcceptFailure::System => {
                         warn!(turn.log, "cannot accept an operator's connection"; "error" => e.to_string());
                         turn.deadlines.set(turn.now + ACCEPT_RETRY, DeadlineKind::RetryAcceptCallers);
                         return;
@@ -297,8 +297,8 @@
 }
 
 /// Renders the metrics in the text exposition format.
-pub fn exposition(figures: &Figures, classes: &[String], tenants: &[String]) -> String {
-    let statuses = |c: &Count| [("success", c.served), ("overload", c.refused), ("error", c.failed)];
+pub fn exposition(figures: &Metrics, classes: &[String], tenants: &[String]) -> String {
+    let statuses = |c: &OutcomeCounts| [("success", c.served), ("overload", c.refused), ("error", c.failed)];
     let mut text = String::from("# TYPE app_replies counter\n");
     for (class, count) in classes.iter().zip(&figures.classes) {
         for (status, n) in statuses(count) {
@@ -332,10 +332,10 @@
             let _ = writeln!(text, "app_{name}{{{label}=\"{value}\"}} {n}");
         }
     }
-    if !figures.reasons.is_empty() {
+    if !figures.unserved.is_empty() {
         text += "# TYPE app_not_served counter\n";
     }
-    for ((outcome, reason), n) in &figures.reasons {
+    for ((outcome, reason), n) in &figures.unserved {
         let _ = writeln!(text, "app_not_served{{outcome=\"{outcome}\",reason=\"{reason}\"}} {n}");
     }
     let totals = [
@@ -345,7 +345,7 @@
         ("expired_unsent", "counter", figures.expired_unsent),
         ("concurrent", "gauge", figures.concurrent),
         ("targets", "gauge", figures.targets),
-        ("targets_disabled", "gauge", figures.avoided),
+        ("targets_disabled", "gauge", figures.targets_avoided),
     ];
     for (name, kind, n) in totals {
         let _ = writeln!(text, "# TYPE app_{name} {kind}\napp_{name} {n}");
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -11,8 +11,8 @@
 use crate::backend::Listed;
 use crate::config::Config;
 use crate::deadlines::DeadlineKind;
-use crate::discovery::{self, Discovery, News};
-use crate::exchange::{Answer, Exchange, Order};
+use crate::discovery::{self, Discovery, ListUpdate};
+use crate::exchange::{Answer, BackendCommand, Exchange};
 use crate::loop_stats::LoopStats;
 use crate::placing::Placing;
 use crate::turn::{EventSource, ReadySources, Turn};
@@ -24,9 +24,9 @@
     pub(crate) discovery: Discovery,
     pub(crate) loop_stats: LoopStats,
     /// The list of db hosts from the configuration, until [`Core::start`].
-    configured_list: Option<News>,
+    configured_list: Option<ListUpdate>,
     /// Lists and changes from discovery that the decision module has not processed yet.
-    news: Vec<News>,
+    news: Vec<ListUpdate>,
 }
 
 /// Work for the parts that have sockets.
@@ -34,7 +34,7 @@
     /// The db host side applies a list that the decision module has processed.
     List(List),
     /// The db host side carries out an order of the decision module.
-    Order(Order),
+    Order(BackendCommand),
     /// The client side answers a request.
     Answer(RequestId, Answer),
 }
@@ -75,13 +75,13 @@
     ) -> Result<Core, String> {
         let turn = Turn::new(event_loop.handle(), log);
         let facts = &config.facts;
-        let pace = discovery::Pace::new(&facts.settings);
-        let mut discovery = Discovery::new(config.discovery, config.silence, facts.names.clone(), pace);
-        let configured_list = std::mem::take(&mut config.known);
+        let pace = discovery::WatchPolicy::new(&facts.settings);
+        let mut discovery = Discovery::new(config.discovery, config.watch_silence, facts.names.clone(), pace);
+        let configured_list = std::mem::take(&mut config.known_list);
         let configured_list = if configured_list.is_null() {
             None
         } else {
-            Some(discovery.known(&turn.clock, &configured_list)?)
+            Some(discovery.read_known(&turn.clock, &configured_list)?)
         };
         let tenants = config.tenants();
         let connect_timeout = facts.connections.connect_timeout;
@@ -112,9 +112,9 @@
     /// Processes an expired deadline. Returns false if the deadline belongs to another part.
     pub fn process_deadline(&mut self, due: DeadlineKind) -> bool {
         match due {
-            DeadlineKind::Module(tag) => self.exchange.timer(&mut self.turn, tag),
-            DeadlineKind::Overdue(id) => self.exchange.overdue(&mut self.turn, id),
-            DeadlineKind::ForwardAgain(id) => self.exchange.send_on_due(&mut self.turn, id),
+            DeadlineKind::Module(tag) => self.exchange.timer_due(&mut self.turn, tag),
+            DeadlineKind::Overdue(id) => self.exchange.answer_overdue(&mut self.turn, id),
+            DeadlineKind::ForwardAgain(id) => self.exchange.forward_due(&mut self.turn, id),
             DeadlineKind::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
             DeadlineKind::ReopenWatch => self.discovery.reopen_due(&mut self.turn, &mut self.news),
             _ => return false,
@@ -138,24 +138,24 @@
                 let news = self.news.remove(0);
                 return Some(Step::List(self.apply_list(news)));
             }
-            if let Some(order) = self.exchange.orders.pop_front() {
+            if let Some(order) = self.exchange.backend_commands.pop_front() {
                 return Some(Step::Order(order));
             }
             if let Some((request, answer)) = self.exchange.answers.pop_front() {
                 return Some(Step::Answer(request, answer));
             }
-            let ask = self.exchange.asks.pop_front()?;
+            let ask = self.exchange.discovery_calls.pop_front()?;
             self.discovery.ask(&mut self.turn, ask, &mut self.news);
         }
     }
 
     /// Passes a list to the decision module.
-    fn apply_list(&mut self, news: News) -> List {
-        let News { kind, entries, listed, unreadable, why } = news;
+    fn apply_list(&mut self, news: ListUpdate) -> List {
+        let ListUpdate { kind, entries, listed, unreadable, why } = news;
         for what in &why {
             warn!(self.turn.log, "unreadable entry in the list of db hosts"; "what" => what, "of" => unreadable);
         }
-        self.exchange.members(&mut self.turn, kind, entries);
+        self.exchange.update_members(&mut self.turn, kind, entries);
         List { kind, listed }
     }
 }
--- a/crates/gradeshunt/src/cycle.rs
+++ b/crates/gradeshunt/src/cycle.rs
@@ -88,7 +88,7 @@
         }
         core.turn.now = core.turn.clock.now();
         core.loop_stats.begin(core.turn.now, next_deadline);
-        core.turn.unread_for = core.loop_stats.unread();
+        core.turn.unread_for = core.loop_stats.time_unread();
         let unfinished = std::mem::take(&mut core.turn.unfinished);
         unfinished.into_iter().chain(self.ready.drain(..)).collect()
     }
@@ -125,7 +125,7 @@
 /// by the same amount.
 fn record_processed(core: &mut Core, name: &'static str) {
     let now = core.turn.clock.now();
-    core.loop_stats.worked(name, now);
+    core.loop_stats.record_source(name, now);
     core.turn.unread_for += now - core.turn.now;
     core.turn.now = now;
 }
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The list of db hosts: discovery's HTTP watch and fetch.
+//! Client of discovery: obtains the list of db hosts by an HTTP watch and by fetches.
 
 mod answer;
 mod list;
@@ -13,51 +13,53 @@
 use slog::{info, warn};
 
 use self::answer::Answer;
-pub use self::list::News;
+pub use self::list::ListUpdate;
 use self::list::Reader;
 use crate::clock::Clock;
 use crate::deadlines::DeadlineKind;
-use crate::exchange::Ask;
+use crate::exchange::DiscoveryCall;
 use crate::ids::CallId;
 use crate::ring::{Ring, Transfer};
 use crate::turn::{EventSource, Polled, Turn};
 
-/// Reads of a call in one turn.
-const READS: usize = 8;
-/// Within this time all proxies of a fleet open watches anew that fell silent for all at once, each at its turn.
-const REOPEN_WITHIN: Micros = 500_000;
+/// Most reads of one call in one turn.
+const MAX_READS: usize = 8;
+/// When discovery falls silent for all proxies of a fleet at once, they spread the reopening of their watches
+/// over this time.
+const REOPEN_SPREAD: Micros = 500_000;
 
-/// How the list comes, and how soon a watch that has ended is opened anew.
+/// How the list arrives, and how soon a watch that has ended is reopened.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
-    /// The list is pushed: what the agent has counts as told, watch or none. A watch stands from the start, and one that
-    /// has ended is opened anew after this long. `None` where the decisions say when to ask.
+pub struct WatchPolicy {
+    /// Set where the list is pushed: the proxy then counts as informed of all that the agent has, with or
+    /// without a watch. A watch is open from the start, and one that has ended is reopened after this long.
+    /// `None` where the decision library says when to ask.
     pub pushed: Option<Micros>,
-    /// This proxy's turn among its fleet, from 0 to 1.
-    pub turn: f64,
+    /// This proxy's place in the order of its fleet, from 0 to 1.
+    pub fleet_position: f64,
 }
 
-impl Pace {
+impl WatchPolicy {
     pub fn new(settings: &Settings) -> Self {
-        // A drain that comes while no watch stands must be heard well within what it grants.
+        // A drain announced while no watch is open must be learned of well within its grace period.
         let pushed = (!settings.list_on_request).then_some((settings.rules.drain_grace / 4).max(1_000));
-        let turn = (f64::from(settings.me) + 0.5) / f64::from(settings.fleet.max(1));
-        Pace { pushed, turn }
+        let fleet_position = (f64::from(settings.driver_index) + 0.5) / f64::from(settings.fleet_size.max(1));
+        WatchPolicy { pushed, fleet_position }
     }
 }
 
 struct Call {
-    ask: Ask,
-    /// A watch at the former address: it is listened to until its successor has told the list.
-    former: bool,
+    ask: DiscoveryCall,
+    /// A watch at the former address: it is read until its successor has delivered the list.
+    is_former: bool,
     polled: Polled,
     inbound: Ring,
     outbound: Ring,
     answer: Answer,
-    /// The version after which it was asked for changes.
-    after: u64,
-    /// By when something has to be whole: the head, a line, the list. Bytes alone don't count: one that drips an endless
-    /// line would keep the watch, and nothing be heard any more.
+    /// The version of the list after which this call asked for changes.
+    since_version: u64,
+    /// Time by which something must be complete: the head, a line, the list. Bytes alone don't extend it: a
+    /// server that drips an endless line would keep the watch open without delivering any news.
     due: Micros,
 }
 
@@ -65,114 +67,129 @@
 pub struct Discovery {
     addr: SocketAddr,
     silence: Micros,
-    pace: Pace,
-    /// When a watch is opened anew, if one is to be.
-    reopen: Option<Micros>,
+    policy: WatchPolicy,
+    /// When a watch is to be reopened, if one is.
+    reopen_at: Option<Micros>,
     reader: Reader,
-    /// A list has come.
-    is_heard: bool,
+    /// Whether discovery has delivered a list.
+    has_list: bool,
     calls: BTreeMap<CallId, Call>,
-    next: u64,
+    next_call: u64,
 }
 
 impl Discovery {
-    pub fn new(addr: SocketAddr, silence: Micros, names: Names, pace: Pace) -> Self {
+    pub fn new(addr: SocketAddr, silence: Micros, names: Names, policy: WatchPolicy) -> Self {
         let reader = Reader::new(names);
         Discovery {
             addr,
             silence,
-            pace,
-            reopen: None,
+            policy,
+            reopen_at: None,
             reader,
-            is_heard: false,
+            has_list: false,
             calls: BTreeMap::new(),
-            next: 0,
+            next_call: 0,
         }
     }
 
-    /// Watches from now on. The decisions ask for nothing before their first event, and a process without a list has none:
-    /// it turns requests away.
-    pub fn start(&mut self, turn: &mut Turn, news: &mut Vec<News>) {
-        self.ask(turn, Ask::Watch, news);
+    /// Opens the first watch. The decision library asks for nothing before its first event, and a process
+    /// without a list has none: it turns requests away.
+    pub fn start(&mut self, turn: &mut Turn, updates: &mut Vec<ListUpdate>) {
+        self.ask(turn, DiscoveryCall::Watch, updates);
     }
 
-    /// A watch is to be opened anew.
-    pub fn reopen_due(&mut self, turn: &mut Turn, news: &mut Vec<News>) {
-        if self.reopen.take_if(|at| *at <= turn.now).is_some() {
-            self.ask(turn, Ask::Watch, news);
+    /// Reopens the watch if that is due.
+    pub fn reopen_due(&mut self, turn: &mut Turn, updates: &mut Vec<ListUpdate>) {
+        if self.reopen_at.take_if(|at| *at <= turn.now).is_some() {
+            self.ask(turn, DiscoveryCall::Watch, updates);
         }
     }
 
     fn reopen_in(&mut self, turn: &mut Turn, wait: Micros) {
         let at = turn.now + wait;
-        if let Some(before) = self.reopen.replace(at) {
+        if let Some(before) = self.reopen_at.replace(at) {
             turn.deadlines.clear(before, DeadlineKind::ReopenWatch);
         }
         turn.deadlines.set(at, DeadlineKind::ReopenWatch);
     }
 
-    /// The list as the configuration gives it, which may be old.
-    pub fn known(&mut self, clock: &Clock, known: &Value) -> Result<News, String> {
-        let news = self.reader.news(clock, &known.to_string(), 0)?;
-        Ok(News { kind: ListKind::Saved, ..news })
+    /// Reads the list in the configuration, which may be outdated.
+    pub fn read_known(&mut self, clock: &Clock, known: &Value) -> Result<ListUpdate, String> {
+        let updates = self.reader.read_list(clock, &known.to_string(), 0)?;
+        Ok(ListUpdate { kind: ListKind::Saved, ..updates })
     }
 
-    /// Db hosts whose starts were read wrongly before primaries had shown the distance of the clocks. Nothing before the first list:
-    /// what the configuration knows is no news.
-    pub fn corrected_starts(&mut self, clock: &Clock) -> Option<News> {
-        if !self.is_heard {
+    /// Returns db hosts whose start times were read wrongly before primaries had shown the clock offset.
+    /// Returns `None` before the first list from discovery: what the configuration lists is no news.
+    pub fn corrected_starts(&mut self, clock: &Clock) -> Option<ListUpdate> {
+        if !self.has_list {
             return None;
         }
         self.reader.corrected_starts(clock)
     }
 
-    /// The number of a db host that is listed now.
+    /// Returns the number of a db host that is listed now.
     pub fn member(&self, id: &str) -> Option<MemberId> {
         self.reader.member(id)
     }
 
-    /// The name of a db host that is listed now.
+    /// Returns the name of a db host that is listed now.
     pub fn name(&self, member: MemberId) -> Option<&str> {
         self.reader.name(member)
     }
 
-    /// Asks; a failure is told as news.
-    pub fn ask(&mut self, turn: &mut Turn, ask: Ask, news: &mut Vec<News>) {
-        // One watch at a time: another would only tell the same again.
-        if ask == Ask::Watch && self.calls.values().any(|c| c.ask == Ask::Watch && !c.former) {
+    /// Opens a watch or fetches the list; a failure is reported in `news`.
+    pub fn ask(&mut self, turn: &mut Turn, ask: DiscoveryCall, updates: &mut Vec<ListUpdate>) {
+        // One watch at a time: a second would only repeat the first.
+        if ask == DiscoveryCall::Watch
+            && self.calls.values().any(|c| c.ask == DiscoveryCall::Watch && !c.is_former)
+        {
             return;
         }
         if let Err(e) = self.call(turn, ask) {
             warn!(turn.log, "discovery cannot be reached"; "error" => e.to_string());
-            self.failed(turn, ask, kind_of(&e), news);
+            self.handle_failure(turn, ask, classify_error(&e), updates);
         }
     }
 
-    /// A call has come to nothing. Where the list is pushed a watch is opened anew, else the module says when to ask.
-    fn failed(&mut self, turn: &mut Turn, ask: Ask, kind: ListKind, news: &mut Vec<News>) {
-        match self.pace.pushed {
-            Some(wait) if ask == Ask::Watch => self.reopen_in(turn, wait),
-            _ => news.push(News::new(kind)),
+    /// Handles a call that failed. Where the list is pushed, a watch is reopened; otherwise the decision
+    /// library says when to ask.
+    fn handle_failure(
+        &mut self,
+        turn: &mut Turn,
+        ask: DiscoveryCall,
+        kind: ListKind,
+        updates: &mut Vec<ListUpdate>,
+    ) {
+        match self.policy.pushed {
+            Some(wait) if ask == DiscoveryCall::Watch => self.reopen_in(turn, wait),
+            _ => updates.push(ListUpdate::new(kind)),
         }
     }
 
-    /// Discovery is elsewhere from now on. The watch that stands goes on being heard until the new one has
-    /// told the list, so that no drain falls between the two.
-    pub fn move_to(&mut self, turn: &mut Turn, addr: SocketAddr, silence: Micros, news: &mut Vec<News>) {
+    /// Moves to another address of discovery. The current watch is read until the new one has delivered the
+    /// list, so that no drain is missed between the two.
+    pub fn move_to(
+        &mut self,
+        turn: &mut Turn,
+        addr: SocketAddr,
+        silence: Micros,
+        updates: &mut Vec<ListUpdate>,
+    ) {
         self.silence = silence;
         if std::mem::replace(&mut self.addr, addr) == addr {
             return;
         }
-        self.calls.values_mut().for_each(|c| c.former = true);
-        self.ask(turn, Ask::Watch, news);
+        self.calls.values_mut().for_each(|c| c.is_former = true);
+        self.ask(turn, DiscoveryCall::Watch, updates);
     }
 
-    fn call(&mut self, turn: &mut Turn, ask: Ask) -> io::Result<()> {
-        let id = CallId(self.next);
-        self.next += 1;
+    fn call(&mut self, turn: &mut Turn, ask: DiscoveryCall) -> io::Result<()> {
+        let id = CallId(self.next_call);
+        self.next_call += 1;
         let path = match ask {
-            Ask::Watch => format!("/api/targets?stream=1&index={}", self.reader.generation()),
-            Ask::Fetch => "/api/targets".to_owned(),
+            DiscoveryCall::Watch => format!("/api/targets?stream=1&index={}", self.reader.generation()),
+            DiscoveryCall::Fetch => "/api/targets".to_owned(),
         };
         let polled = Polled::connect(turn, self.addr, EventSource::Call(id))?;
         let mut outbound = Ring::default();
@@ -184,28 +201,28 @@
         let due = turn.now + self.silence;
         turn.deadlines.set(due, DeadlineKind::Call(id));
         let inbound = Ring::default();
-        let answer = Answer::new(ask == Ask::Watch);
-        let after = self.reader.generation();
-        let call = Call { ask, former: false, polled, inbound, outbound, answer, after, due };
+        let answer = Answer::new(ask == DiscoveryCall::Watch);
+        let since_version = self.reader.generation();
+        let call = Call { ask, is_former: false, polled, inbound, outbound, answer, since_version, due };
         self.calls.insert(id, call);
         Ok(())
     }
 
-    pub fn call_due(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) {
+    pub fn call_due(&mut self, turn: &mut Turn, id: CallId, updates: &mut Vec<ListUpdate>) {
         let Some(call) = self.calls.get(&id).filter(|c| c.due <= turn.now) else { return };
-        // Whether it was ever heard or not, discovery may be there for others: all it takes is another watch, before what
-        // this one misses counts.
-        if call.ask == Ask::Watch && !call.former && self.pace.pushed.is_none() {
+        // Discovery may be available even if this watch never delivered anything. Another watch is opened
+        // before the time runs out after which its news counts as known.
+        if call.ask == DiscoveryCall::Watch && !call.is_former && self.policy.pushed.is_none() {
             warn!(turn.log, "watch has fallen silent, opening another");
             self.end(turn, id);
-            let wait = REOPEN_WITHIN as f64 * self.pace.turn;
+            let wait = REOPEN_SPREAD as f64 * self.policy.fleet_position;
             return self.reopen_in(turn, wait as Micros);
         }
-        self.fail(turn, id, "silent for too long", news);
+        self.abort(turn, id, "silent for too long", updates);
     }
 
-    pub fn ready(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) {
-        for _ in 0..READS {
+    pub fn ready(&mut self, turn: &mut Turn, id: CallId, updates: &mut Vec<ListUpdate>) {
+        for _ in 0..MAX_READS {
             let Some(call) = self.calls.get_mut(&id) else { return };
             let moved = call
                 .outbound
@@ -216,50 +233,55 @@
                 Ok(Transfer::Blocked) => return,
                 Ok(Transfer::End) => true,
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
-                Err(e) => return self.fail_as(turn, id, &e.to_string(), kind_of(&e), news),
+                Err(e) => return self.abort_as(turn, id, &e.to_string(), classify_error(&e), updates),
             };
-            let before = news.len();
-            let taken = self.take(turn, id, news);
-            self.is_heard |= news.len() > before;
-            if let Err(what) = taken {
-                return self.fail(turn, id, &what, news);
+            let before = updates.len();
+            let read = self.read_answer(turn, id, updates);
+            self.has_list |= updates.len() > before;
+            if let Err(what) = read {
+                return self.abort(turn, id, &what, updates);
             }
             let Some(call) = self.calls.get_mut(&id) else { return };
             let done = call.answer.is_done(ended);
-            if call.ask == Ask::Fetch && done {
+            if call.ask == DiscoveryCall::Fetch && done {
                 let body = call.answer.body();
-                match self.reader.line(&turn.clock, &body, call.after) {
+                match self.reader.read_line(&turn.clock, &body, call.since_version) {
                     Ok(Some(n)) => {
-                        self.is_heard = true;
-                        news.push(n);
+                        self.has_list = true;
+                        updates.push(n);
                     }
-                    Ok(None) => return self.fail(turn, id, "an empty list", news),
-                    Err(what) => return self.fail(turn, id, &what, news),
+                    Ok(None) => return self.abort(turn, id, "an empty list", updates),
+                    Err(what) => return self.abort(turn, id, &what, updates),
                 }
                 return self.end(turn, id);
             }
             if ended || done {
-                return self.fail(turn, id, "ended by discovery", news);
+                return self.abort(turn, id, "ended by discovery", updates);
             }
-            if news.len() > before {
+            if updates.len() > before {
                 self.end_former(turn, id);
                 info!(turn.log, "list of db hosts"; "generation" => self.reader.generation(),
-                    "entries" => news[before..].iter().map(|n| n.entries.len()).sum::<usize>());
+                    "entries" => updates[before..].iter().map(|n| n.entries.len()).sum::<usize>());
             }
         }
         turn.unfinished.push(EventSource::Call(id));
     }
 
-    /// Takes what has come of an answer, in pieces that may be split anywhere.
-    fn take(&mut self, turn: &mut Turn, id: CallId, news: &mut Vec<News>) -> Result<(), String> {
+    /// Takes the received part of an answer, which may be split anywhere.
+    fn read_answer(
+        &mut self,
+        turn: &mut Turn,
+        id: CallId,
+        updates: &mut Vec<ListUpdate>,
+    ) -> Result<(), String> {
         let Some(call) = self.calls.get_mut(&id) else { return Ok(()) };
-        let whole = call.answer.take(&mut call.inbound)?;
-        if call.ask == Ask::Watch {
-            for list in whole.lists {
-                news.extend(self.reader.line(&turn.clock, &list, call.after)?);
+        let completed = call.answer.take(&mut call.inbound)?;
+        if call.ask == DiscoveryCall::Watch {
+            for list in completed.lists {
+                updates.extend(self.reader.read_line(&turn.clock, &list, call.since_version)?);
             }
         }
-        if whole.any {
+        if completed.has_any {
             turn.deadlines.clear(call.due, DeadlineKind::Call(id));
             call.due = turn.now + self.silence;
             turn.deadlines.set(call.due, DeadlineKind::Call(id));
@@ -267,27 +289,35 @@
         Ok(())
     }
 
-    /// Discovery has refused a call, ended it, or been silent for too long.
-    fn fail(&mut self, turn: &mut Turn, id: CallId, why: &str, news: &mut Vec<News>) {
-        self.fail_as(turn, id, why, ListKind::Failed, news);
+    /// Ends a call that discovery has refused, ended, or left silent for too long.
+    fn abort(&mut self, turn: &mut Turn, id: CallId, why: &str, updates: &mut Vec<ListUpdate>) {
+        self.abort_as(turn, id, why, ListKind::Failed, updates);
     }
 
-    fn fail_as(&mut self, turn: &mut Turn, id: CallId, why: &str, kind: ListKind, news: &mut Vec<News>) {
+    fn abort_as(
+        &mut self,
+        turn: &mut Turn,
+        id: CallId,
+        why: &str,
+        kind: ListKind,
+        updates: &mut Vec<ListUpdate>,
+    ) {
         let Some(call) = self.calls.get(&id) else { return };
-        let (former, ask) = (call.former, call.ask);
+        let (former, ask) = (call.is_former, call.ask);
         self.end(turn, id);
-        // Its successor is under way, or the module knows that that one has failed.
+        // Its successor is under way, or the decision library knows that the successor has failed.
         if former {
             return info!(turn.log, "former watch ended"; "why" => why);
         }
         warn!(turn.log, "call to discovery failed"; "why" => why);
-        self.failed(turn, ask, kind, news);
+        self.handle_failure(turn, ask, kind, updates);
     }
 
-    /// The call `id` has told the list: where it is the successor, what was asked elsewhere is no longer heard.
+    /// Ends the watches at the former address once their successor `id` has delivered the list.
     fn end_former(&mut self, turn: &mut Turn, id: CallId) {
-        if self.calls.get(&id).is_some_and(|c| !c.former) {
-            let former = self.calls.iter().filter(|(_, c)| c.former).map(|(id, _)| *id).collect::<Vec<_>>();
+        if self.calls.get(&id).is_some_and(|c| !c.is_former) {
+            let former =
+                self.calls.iter().filter(|(_, c)| c.is_former).map(|(id, _)| *id).collect::<Vec<_>>();
             former.into_iter().for_each(|id| self.end(turn, id));
         }
     }
@@ -300,9 +330,9 @@
     }
 }
 
-/// What a failed call of the system says of discovery: who refuses a connection is not there, and else the connection alone is known to
-/// be broken.
-fn kind_of(error: &io::Error) -> ListKind {
+/// Classifies a system error of a call: a refused connection means that discovery is not there; anything else
+/// says only that this connection is broken.
+fn classify_error(error: &io::Error) -> ListKind {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => ListKind::Failed,
         _ => ListKind::Broken,
--- a/crates/gradeshunt/src/exchange/client_side.rs
+++ b/crates/gradeshunt/src/exchange/client_side.rs
@@ -1,9 +1,10 @@
-//! What the client side tells the exchange: calls, clients that leave or cancel, and how much they have read.
+//! Events from the frontend: new requests, clients that disconnect or cancel, and how much of an answer they
+//! have read.
 
-use leadmast::permission::may_take;
+use leadmast::permission::may_accept;
 use leadmast::{Arrival, Effect, Event, RequestId};
 
-use super::messages::{Call, Final, Order, ROOM};
+use super::messages::{BackendCommand, FinalAnswer, IncomingRequest, ANSWER_BUFFER_SIZE};
 use super::reason::FinalReason;
 use super::request::Request;
 use super::state::Exchange;
@@ -12,74 +13,100 @@
 use crate::turn::Turn;
 
 impl Exchange {
-    /// Takes a request, which gets one final answer.
-    pub fn submit(&mut self, turn: &mut Turn, call: Call) -> RequestId {
-        let id = RequestId(self.next);
-        self.next += 1;
-        let Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body } = call;
-        self.tally.requests += 1;
-        // The module answers by the deadline. Should it not, the client gets its answer all the same.
-        turn.deadlines.set(deadline + self.slack, DeadlineKind::Overdue(id));
+    /// Takes a request. Every request gets exactly one final answer.
+    pub fn submit(&mut self, turn: &mut Turn, incoming: IncomingRequest) -> RequestId {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        let IncomingRequest {
+            class,
+            group,
+            key,
+            deadline,
+            since_write,
+            repeat,
+            checked,
+            tenant,
+            source,
+            body,
+        } = incoming;
+        self.summary_counts.requests += 1;
+        // The balancer answers by the deadline. This timer answers the client should it fail to.
+        turn.deadlines.set(deadline + self.answer_slack, DeadlineKind::Overdue(id));
         let place = tenant.map_or(self.figures.tenants.len() - 1, |t| t.0);
         let effect = self.effects.get(class.0).copied().unwrap_or(Effect::Unsafe);
         let request = Request::new(class, effect, group, tenant, place, deadline, body);
         self.requests.insert(id, request);
-        let refused = Final::Refused { retry_after: self.retry_after(class) };
-        // Its wait was over before its turn came: nobody would have the answer of an attempt.
-        if may_take(turn.now, deadline).is_err() {
-            self.tally.expired_unsent += 1;
+        let refused = FinalAnswer::Refused { retry_after: self.retry_after(class) };
+        // The client's wait time ended while the request was queued: nobody would receive an attempt's
+        // answer.
+        if may_accept(turn.now, deadline).is_err() {
+            self.summary_counts.expired_unsent += 1;
             self.figures.expired_unsent += 1;
-            self.finish(turn, id, refused, Some(FinalReason::Expired));
+            self.give_final_answer(turn, id, refused, Some(FinalReason::Expired));
             return id;
         }
         if self.sites.as_mut().is_some_and(|s| !s.admits(group, class, tenant)) {
-            self.finish(turn, id, refused, Some(FinalReason::SitePlan));
+            self.give_final_answer(turn, id, refused, Some(FinalReason::SitePlan));
             return id;
         }
         let arrival =
             Arrival { request: id, class, group, key, deadline, since_write, repeat, checked, tenant };
-        self.place(turn, source, arrival);
+        self.forward_or_serve(turn, source, arrival);
         id
     }
 
-    /// The client has left.
-    pub fn gone(&mut self, turn: &mut Turn, id: RequestId) {
+    /// The client has disconnected.
+    pub fn client_gone(&mut self, turn: &mut Turn, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        r.left = Some(turn.now);
-        let (written, begun, forwarded) = (r.written, r.begun, r.forward.is_some());
-        let attempt = r.out.as_ref().map(|out| AttemptId { request: id, number: out.number });
-        if self.end(turn, id) {
-            // Of a long answer that has begun the module knows no more. What is not sent yet is no business of the
-            // settings on calling off: nothing reaches a db host. A home learns of it by the end of its connection, and keeps to
-            // the settings itself.
+        r.client_left_at = Some(turn.now);
+        let (written, begun, forwarded) = (r.written, r.answer_begun, r.forward.is_some());
+        let attempt =
+            r.active_attempt.as_ref().map(|active| AttemptId { request: id, number: active.number });
+        if self.mark_over(turn, id) {
+            // The balancer has already had its outcome for a long answer that has begun, so that attempt is
+            // abandoned here. An attempt that is not sent yet is withdrawn regardless of the `mayCancel`
+            // setting, since nothing has reached a db host. A home proxy notices the closed connection and
+            // applies the setting itself.
             let abandon = begun || forwarded;
-            self.orders.extend(attempt.map(if abandon { Order::Abandon } else { Order::Withdraw }));
-            self.tally.gone += 1;
-            self.tally.gone_unsent += u32::from(!written);
+            self.backend_commands.extend(attempt.map(if abandon {
+                BackendCommand::Cancel
+            } else {
+                BackendCommand::CancelIfUnsent
+            }));
+            self.summary_counts.clients_gone += 1;
+            self.summary_counts.gone_unsent += u32::from(!written);
             self.figures.gone_unsent += u64::from(!written);
-            self.tell(turn, Event::Gone { request: id });
+            self.handle_event(turn, Event::Gone { request: id });
         }
     }
 
-    /// The client has cancelled a request and waits to be told so. Of a value that has begun it gets the rest.
+    /// The client has cancelled a request and waits for the confirmation. An answer that has begun is still
+    /// sent to its end.
     pub fn cancel(&mut self, turn: &mut Turn, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over && !r.begun) else { return };
-        r.left = Some(turn.now);
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over && !r.answer_begun) else { return };
+        r.client_left_at = Some(turn.now);
         let forwarded = r.forward.is_some();
-        let attempt = r.out.as_ref().map(|out| AttemptId { request: id, number: out.number });
-        self.finish(turn, id, Final::Cancelled, Some(FinalReason::Cancelled));
-        self.orders.extend(attempt.map(if forwarded { Order::Abandon } else { Order::Withdraw }));
-        self.tell(turn, Event::Gone { request: id });
+        let attempt =
+            r.active_attempt.as_ref().map(|active| AttemptId { request: id, number: active.number });
+        self.give_final_answer(turn, id, FinalAnswer::Cancelled, Some(FinalReason::Cancelled));
+        self.backend_commands.extend(attempt.map(if forwarded {
+            BackendCommand::Cancel
+        } else {
+            BackendCommand::CancelIfUnsent
+        }));
+        self.handle_event(turn, Event::Gone { request: id });
     }
 
-    /// The client side has got so much more of a long answer, and holds so much that its client has yet to read.
-    pub fn unread(&mut self, id: RequestId, got: usize, held: usize) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
+    /// The frontend has received `got` more bytes of a long answer, and buffers `held` bytes that its client
+    /// has yet to read.
+    pub fn update_unread(&mut self, id: RequestId, got: usize, held: usize) {
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return };
         r.queued = r.queued.saturating_sub(got);
-        r.room = ROOM.saturating_sub(held + r.queued);
-        if let (Some(out), true) = (&r.out, r.stalled && r.room > 0) {
-            r.stalled = false;
-            self.orders.push_back(Order::Resume(AttemptId { request: id, number: out.number }));
+        r.room = ANSWER_BUFFER_SIZE.saturating_sub(held + r.queued);
+        if let (Some(active), true) = (&r.active_attempt, r.awaits_room && r.room > 0) {
+            r.awaits_room = false;
+            self.backend_commands
+                .push_back(BackendCommand::Resume(AttemptId { request: id, number: active.number }));
         }
     }
 }
--- a/crates/gradeshunt/src/exchange/forwarding.rs
+++ b/crates/gradeshunt/src/exchange/forwarding.rs
@@ -1,39 +1,40 @@
-//! Requests that are sent on to a home proxy. The module hears nothing of them, unless no home can be had and they are served
-//! from here after all.
+//! Requests that are forwarded to a home proxy. The balancer does not know of them, unless no home is
+//! available and this proxy serves them itself.
 
 use gradeshunt_placement::Source;
-use leadmast::permission::{may_repeat, repeat_by, Doubt};
+use leadmast::permission::{may_repeat, repeat_deadline, PossibleExecution};
 use leadmast::{Arrival, Ending, Event, MemberId, Micros, RequestId};
 use slog::{debug, warn};
 
 use super::endings;
-use super::messages::{Final, Form, Order, Said};
+use super::messages::{AnswerForm, BackendCommand, FinalAnswer, HostReply};
 use super::reason::FinalReason;
-use super::request::{Forward, Out};
+use super::request::{ActiveAttempt, Forward};
 use super::state::Exchange;
 use crate::deadlines::DeadlineKind;
 use crate::ids::AttemptId;
 use crate::placing::{self, Decision};
 use crate::turn::Turn;
 
-/// Numbers of tries at other proxies; the module numbers its attempts from 0 on.
+/// First number of an attempt to forward a request; the balancer numbers its attempts from 0.
 const FIRST_FORWARD: u32 = 1 << 16;
 
 impl AttemptId {
-    /// Whether it is a try at another proxy, and no attempt at a db host.
+    /// Whether this is a forward to another proxy rather than an attempt at a db host.
     pub fn is_forward(self) -> bool {
         self.number >= FIRST_FORWARD
     }
 }
 
 impl Exchange {
-    /// Sends a request on, or serves it from here. One that came from another proxy is always served here, so that none goes
-    /// round in circles.
-    pub(super) fn place(&mut self, turn: &mut Turn, source: Source, arrival: Arrival) {
+    /// Forwards a request, or serves it here. A request that came from another proxy is always served here,
+    /// so that requests cannot circulate among proxies.
+    pub(super) fn forward_or_serve(&mut self, turn: &mut Turn, source: Source, arrival: Arrival) {
         let id = arrival.request;
-        // Only a value that tells its db host how long to wait can be had from another proxy as from a db host.
+        // Another proxy can stand in for a db host only for requests that state their wait time and return
+        // one value.
         let body = self.requests.get(&id).map(|r| &r.body);
-        let plain = body.is_none_or(|b| !b.tells_wait() || b.form != Form::Value);
+        let plain = body.is_none_or(|b| !b.states_wait() || b.form != AnswerForm::Value);
         let Some(placing) = &mut self.placing else { return self.serve_here(turn, arrival) };
         if source == Source::Proxy {
             placing.counts.taken += 1;
@@ -43,160 +44,186 @@
             placing.counts.direct += 1;
             return self.serve_here(turn, arrival);
         }
-        let bucket = placing::bucket(arrival.group, arrival.key, id.0);
-        self.decide(turn, id, Forward { arrival, bucket, tried: Vec::new() });
+        let bucket = placing::session_bucket(arrival.group, arrival.key, id.0);
+        self.choose_proxy(turn, id, Forward { arrival, bucket, tried: Vec::new() });
     }
 
-    fn decide(&mut self, turn: &mut Turn, id: RequestId, forward: Forward) {
+    fn choose_proxy(&mut self, turn: &mut Turn, id: RequestId, forward: Forward) {
         let Some(placing) = &mut self.placing else { return self.serve_here(turn, forward.arrival) };
         match placing.decide(turn.now, forward.arrival.group, forward.bucket, &forward.tried) {
             Decision::Here => self.serve_here(turn, forward.arrival),
-            Decision::SendOn(peer) => self.send_on(turn, id, peer, forward),
+            Decision::SendOn(peer) => self.forward_to(turn, id, peer, forward),
             Decision::Refuse => self.refuse(turn, id),
         }
     }
 
     fn serve_here(&mut self, turn: &mut Turn, arrival: Arrival) {
         let id = arrival.request;
-        self.tell(turn, Event::Request(arrival));
-        let beyond = self.balancer.is_beyond(id);
-        self.requests.get_mut(&id).into_iter().for_each(|r| r.beyond = beyond);
+        self.handle_event(turn, Event::Request(arrival));
+        let beyond = self.balancer.exceeds_share(id);
+        self.requests.get_mut(&id).into_iter().for_each(|r| r.exceeds_share = beyond);
     }
 
     fn refuse(&mut self, turn: &mut Turn, id: RequestId) {
         let retry_after = self.requests.get(&id).and_then(|r| self.retry_after(r.class));
-        self.finish(turn, id, Final::Refused { retry_after }, Some(FinalReason::NoHome));
+        self.give_final_answer(turn, id, FinalAnswer::Refused { retry_after }, Some(FinalReason::NoHome));
     }
 
-    fn send_on(&mut self, turn: &mut Turn, id: RequestId, peer: MemberId, mut forward: Forward) {
+    fn forward_to(&mut self, turn: &mut Turn, id: RequestId, peer: MemberId, mut forward: Forward) {
         let Some(r) = self.requests.get(&id) else { return };
-        // The home's last answer has to come back in time.
-        let last = r.deadline - self.hop;
+        // Leaves time for the home's answer to reach this proxy.
+        let last = r.deadline - self.forward_time;
         if last <= turn.now {
             return self.refuse(turn, id);
         }
-        // A home that answers others is waited for. Of one that may be silent, what may be repeated leaves time for the next.
+        // A home that has answered lately is given all of the time. For one that may be unresponsive, a
+        // request that may be repeated keeps half of the time for the next home.
         let half = turn.now + (r.deadline - turn.now) / 2;
-        let heard = self.placing.as_ref().is_some_and(|placing| placing.is_heard(turn.now, peer));
+        let heard =
+            self.placing.as_ref().is_some_and(|placing| placing.has_answered_recently(turn.now, peer));
         let until = if !heard && self.may_repeat(turn.now, id, half) { half.min(last) } else { last };
         forward.tried.push(peer);
         let number = FIRST_FORWARD + forward.tried.len() as u32;
-        debug!(turn.log, "sent on"; "request" => id.0, "member" => peer.0);
+        debug!(turn.log, "request forwarded to a home proxy"; "request" => id.0, "member" => peer.0);
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let doubt = r.doubt_since.map(|since| Doubt { since, zone: None });
-        let write_by = repeat_by(r.effect, doubt, self.limits.margin).map_or(until, |by| by.min(until));
-        r.out = Some(Out { number, member: peer, since: turn.now });
+        let doubt = r.outcome_unknown_since.map(|since| PossibleExecution { sent_at: since, zone: None });
+        let write_by = repeat_deadline(r.effect, doubt, self.limits.margin).map_or(until, |by| by.min(until));
+        r.active_attempt = Some(ActiveAttempt { number, member: peer, begun_at: turn.now });
         r.forward = Some(Box::new(forward));
         let body = std::rc::Rc::clone(&r.body);
         let attempt = AttemptId { request: id, number };
-        self.orders.push_back(Order::Start { attempt, member: peer, body, until, write_by });
+        self.backend_commands.push_back(BackendCommand::Start {
+            attempt,
+            member: peer,
+            body,
+            until,
+            write_by,
+        });
     }
 
-    /// Whether a request that may have run may be sent once more at `at`.
+    /// Whether a request that may have run may be sent again at `at`.
     fn may_repeat(&self, now: Micros, id: RequestId, at: Micros) -> bool {
         let Some(r) = self.requests.get(&id) else { return false };
-        let doubt = Doubt { since: r.doubt_since.unwrap_or(now), zone: None };
+        let doubt = PossibleExecution { sent_at: r.outcome_unknown_since.unwrap_or(now), zone: None };
         may_repeat(at, r.effect, Some(doubt), None, self.limits.margin).is_ok()
     }
 
-    /// A try at another proxy has ended.
+    /// A forward to another proxy has ended.
     pub(super) fn forward_ended(
         &mut self,
         turn: &mut Turn,
         id: RequestId,
-        out: Out,
+        active: ActiveAttempt,
         ending: Ending,
-        said: Said,
+        host_reply: HostReply,
     ) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(forward) = r.forward.take() else { return };
-        let (over, begun, group) = (r.over, r.begun, r.group);
+        let (over, begun, group) = (r.is_over, r.answer_begun, r.group);
         let again_at = r.settled_at.map_or(turn.now, |settled| settled.max(turn.now));
-        let leaving = matches!(said, Said::Leaving);
+        let leaving = matches!(host_reply, HostReply::Leaving);
         let ran = !ending.never_ran() && !leaving;
         if ran {
-            r.doubt_since.get_or_insert(out.since);
+            r.outcome_unknown_since.get_or_insert(active.begun_at);
         }
-        self.judge_peer(turn, &out, ending, &said, group);
+        self.record_forward_end(turn, &active, ending, &host_reply, group);
         if over {
-            return self.forget_if_done(id);
+            return self.remove_if_done(id);
         }
-        match said {
-            Said::Answer(bytes) => self.finish(turn, id, Final::Served(bytes), None),
-            _ if begun => self.finish(turn, id, Final::Broken, Some(FinalReason::ValueCut)),
-            Said::Verdict(bytes) | Said::Error(bytes) => {
-                self.finish(turn, id, Final::Failed(Some(bytes)), Some(FinalReason::MayHaveRun))
+        match host_reply {
+            HostReply::Answer(bytes) => self.give_final_answer(turn, id, FinalAnswer::Served(bytes), None),
+            _ if begun => {
+                self.give_final_answer(turn, id, FinalAnswer::Interrupted, Some(FinalReason::ValueCut))
             }
-            Said::Unclear => self.finish(turn, id, Final::Failed(None), Some(FinalReason::AnswerUnclear)),
-            Said::Refused { retry_after } => {
-                self.finish(turn, id, Final::Refused { retry_after }, Some(FinalReason::HomeRefused))
+            HostReply::StatementError(bytes) | HostReply::Error(bytes) => self.give_final_answer(
+                turn,
+                id,
+                FinalAnswer::Failed(Some(bytes)),
+                Some(FinalReason::MayHaveRun),
+            ),
+            HostReply::PossibleDuplicate => {
+                self.give_final_answer(turn, id, FinalAnswer::Failed(None), Some(FinalReason::AnswerUnclear))
             }
-            Said::Nothing | Said::Leaving if !ran || self.may_repeat(turn.now, id, again_at) => {
-                self.send_on_at(turn, id, *forward, again_at);
+            HostReply::Refused { retry_after } => self.give_final_answer(
+                turn,
+                id,
+                FinalAnswer::Refused { retry_after },
+                Some(FinalReason::HomeRefused),
+            ),
+            HostReply::Nothing | HostReply::Leaving if !ran || self.may_repeat(turn.now, id, again_at) => {
+                self.forward_at(turn, id, *forward, again_at);
             }
-            Said::Nothing | Said::Leaving => {
-                self.finish(turn, id, Final::Failed(None), Some(FinalReason::MayHaveRun))
+            HostReply::Nothing | HostReply::Leaving => {
+                self.give_final_answer(turn, id, FinalAnswer::Failed(None), Some(FinalReason::MayHaveRun))
             }
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
-    /// Sends a request on to another proxy, or serves it from here, once the close of its latest connection has settled.
-    fn send_on_at(&mut self, turn: &mut Turn, id: RequestId, forward: Forward, at: Micros) {
+    /// Forwards a request to another proxy, or serves it here, once the close of its latest connection has
+    /// settled.
+    fn forward_at(&mut self, turn: &mut Turn, id: RequestId, forward: Forward, at: Micros) {
         if at <= turn.now {
-            return self.decide(turn, id, forward);
+            return self.choose_proxy(turn, id, forward);
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.forward = Some(Box::new(forward));
         turn.deadlines.set(at, DeadlineKind::ForwardAgain(id));
     }
 
-    /// The close has settled: the request is sent on, unless it is over by now.
-    pub fn send_on_due(&mut self, turn: &mut Turn, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
+    /// The close of the latest connection has settled: forwards the request, unless it is over by now.
+    pub fn forward_due(&mut self, turn: &mut Turn, id: RequestId) {
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.is_over) else { return };
         if let Some(forward) = r.forward.take() {
-            self.decide(turn, id, *forward);
+            self.choose_proxy(turn, id, *forward);
         }
     }
 
-    /// What the end of a try says of the proxy that it went to.
-    fn judge_peer(
+    /// Updates the state of a proxy by how a forward to it ended.
+    fn record_forward_end(
         &mut self,
         turn: &mut Turn,
-        out: &Out,
+        active: &ActiveAttempt,
         ending: Ending,
-        said: &Said,
+        host_reply: &HostReply,
         group: leadmast::GroupId,
     ) {
         let Some(placing) = &mut self.placing else { return };
-        match (said, ending) {
+        match (host_reply, ending) {
             (
-                Said::Answer(_) | Said::Verdict(_) | Said::Error(_) | Said::Refused { .. } | Said::Unclear,
+                HostReply::Answer(_)
+                | HostReply::StatementError(_)
+                | HostReply::Error(_)
+                | HostReply::Refused { .. }
+                | HostReply::PossibleDuplicate,
                 _,
             ) => {
-                placing.answered(turn.now, out.member, group);
+                placing.record_answer(turn.now, active.member, group);
             }
-            (Said::Nothing, Ending::Moot | Ending::Cancelled | Ending::Ok | Ending::Error) => {}
-            (Said::Leaving, _) | (Said::Nothing, _) => {
-                if placing.failed(turn.now, out.member) {
-                    let name = placing.name(out.member).map(str::to_owned);
-                    warn!(turn.log, "home proxy is unavailable"; "ending" => endings::name(ending), "name" => name);
-                    self.leave_peer(turn.now, out.member);
+            (HostReply::Nothing, Ending::Moot | Ending::Cancelled | Ending::Ok | Ending::Error) => {}
+            (HostReply::Leaving, _) | (HostReply::Nothing, _) => {
+                if placing.record_failure(turn.now, active.member) {
+                    let name = placing.name(active.member).map(str::to_owned);
+                    warn!(turn.log, "home proxy is unavailable"; "ending" => endings::ending_name(ending), "name" => name);
+                    self.abandon_peer(turn.now, active.member);
                 }
             }
         }
     }
 
-    /// Takes back from a silent proxy what may be repeated, and closes the connections to it that stand in the pool: the next
-    /// request needs one that has come up.
-    fn leave_peer(&mut self, now: Micros, peer: MemberId) {
-        self.orders.push_back(Order::CloseIdle(peer));
+    /// Abandons the forwards at an unresponsive proxy that may be repeated, and closes the idle connections
+    /// to it: the next request needs a new one.
+    fn abandon_peer(&mut self, now: Micros, peer: MemberId) {
+        self.backend_commands.push_back(BackendCommand::CloseIdle(peer));
         let at_peer = self.requests.iter().filter_map(|(id, r)| {
-            let out = r.out.as_ref().filter(|out| out.member == peer && !r.begun && !r.over)?;
-            Some(AttemptId { request: *id, number: out.number })
+            let active = r
+                .active_attempt
+                .as_ref()
+                .filter(|active| active.member == peer && !r.answer_begun && !r.is_over)?;
+            Some(AttemptId { request: *id, number: active.number })
         });
         let repeatable: Vec<_> =
             at_peer.filter(|attempt| self.may_repeat(now, attempt.request, now)).collect();
-        self.orders.extend(repeatable.into_iter().map(Order::Abandon));
+        self.backend_commands.extend(repeatable.into_iter().map(BackendCommand::Cancel));
     }
 }
--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -21,7 +21,7 @@
 use leadmast::{Micros, RequestId, Settings};
 
 use self::session::Session;
-use crate::exchange::ROOM;
+use crate::exchange::ANSWER_BUFFER_SIZE;
 use crate::ids::SessionId;
 use crate::pg::{MAX_BUFFERED_ANSWER, MAX_BUFFERED_ROW};
 use crate::ring::MAX_RING_SIZE;
@@ -36,7 +36,7 @@
 // row are buffered.
 const _: () = assert!(
     MAX_UNREAD_BYTES + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
-        && ROOM + MAX_BUFFERED_ROW + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
+        && ANSWER_BUFFER_SIZE + MAX_BUFFERED_ROW + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
 );
 
 /// The session that waits for a request's answer, and the request's id as the client gave it.
--- a/crates/gradeshunt/src/frontend/answers.rs
+++ b/crates/gradeshunt/src/frontend/answers.rs
@@ -6,7 +6,7 @@
 use super::closing::CloseReason;
 use super::session::{Session, Stage};
 use super::Frontend;
-use crate::exchange::{Exchange, Final};
+use crate::exchange::{Exchange, FinalAnswer};
 use crate::ids::SessionId;
 use crate::pg::{sqlstate, Writer};
 use crate::turn::Turn;
@@ -33,12 +33,18 @@
     /// answer only while there is room for it.
     pub(super) fn report_unread_bytes(&self, exchange: &mut Exchange, id: SessionId, received: usize) {
         if let Some(Session { stage: Stage::Waiting(request), outbound, .. }) = self.sessions.get(&id) {
-            exchange.unread(*request, received, outbound.len());
+            exchange.update_unread(*request, received, outbound.len());
         }
     }
 
     /// Writes the final answer of a request and makes the session ready for its next request.
-    pub fn answer(&mut self, turn: &mut Turn, exchange: &mut Exchange, request: RequestId, answer: Final) {
+    pub fn answer(
+        &mut self,
+        turn: &mut Turn,
+        exchange: &mut Exchange,
+        request: RequestId,
+        answer: FinalAnswer,
+    ) {
         let Some(id) = self.release_request(request) else { return };
         let Some(s) = self.sessions.get_mut(&id) else { return };
         (s.stage, s.last_active) = (Stage::Ready, turn.now);
@@ -49,8 +55,8 @@
         }
         let w = Writer::default();
         let w = match answer {
-            Final::Served(bytes) => Writer(bytes),
-            Final::Refused { retry_after } => {
+            FinalAnswer::Served(bytes) => Writer(bytes),
+            FinalAnswer::Refused { retry_after } => {
                 let after = retry_after.map(|t| ((t + 999) / 1000).to_string());
                 w.error(
                     "ERROR",
@@ -60,12 +66,12 @@
                 )
             }
             // The client would read an error message as bytes of the truncated value.
-            Final::Broken => return self.close_with(turn, id, w, CloseReason::ValueTruncated),
-            Final::Cancelled => {
+            FinalAnswer::Interrupted => return self.close_with(turn, id, w, CloseReason::ValueTruncated),
+            FinalAnswer::Cancelled => {
                 w.error("ERROR", sqlstate::QUERY_CANCELED, "canceling statement due to user request", None)
             }
-            Final::Failed(Some(error)) => Writer(error),
-            Final::Failed(None) => {
+            FinalAnswer::Failed(Some(error)) => Writer(error),
+            FinalAnswer::Failed(None) => {
                 w.error("ERROR", sqlstate::SYSTEM_ERROR, "no db host has answered in time", None)
             }
         };
@@ -73,7 +79,7 @@
         if !fits {
             // The client has not read its earlier answers, and no complete message fits behind them. The
             // assertion at `MAX_UNREAD_BYTES` rules this out.
-            exchange.violated(turn, Rule::ClosedUnanswered, None);
+            exchange.record_violation(turn, Rule::ClosedUnanswered, None);
             return self.close(turn, id);
         }
         // Flush before reading: a client that sends Terminate right behind its request still gets its answer.
--- a/crates/gradeshunt/src/frontend/closing.rs
+++ b/crates/gradeshunt/src/frontend/closing.rs
@@ -1,7 +1,7 @@
 //! The reasons for which the proxy closes client connections, and the facts that decide whether it may.
 
 use leadmast::invariant::Rule;
-use leadmast::permission::{ClientFacts, ClientStage};
+use leadmast::permission::{ClientStage, ClientState};
 use slog::debug;
 
 use super::session::{Session, Stage};
@@ -70,7 +70,7 @@
 impl Session {
     /// Returns the facts that decide whether the session may be closed. `may_ask_yet` says that its first
     /// request may still be in transit and is waited for.
-    pub(super) fn close_facts(&self, may_ask_yet: bool) -> ClientFacts {
+    pub(super) fn close_facts(&self, may_ask_yet: bool) -> ClientState {
         let stage = match self.stage {
             Stage::Startup | Stage::Ready if !self.has_sent_query => ClientStage::New,
             Stage::Startup | Stage::Ready => ClientStage::Between,
@@ -78,12 +78,12 @@
             Stage::Closing => ClientStage::Closing,
             Stage::Lingering => ClientStage::Lingering,
         };
-        ClientFacts {
+        ClientState {
             stage,
-            message_begun: !self.inbound.is_empty(),
+            message_partly_read: !self.inbound.is_empty(),
             bytes_unread: !self.polled.is_quiet(),
             answer_unwritten: !self.outbound.is_empty(),
-            may_ask_yet,
+            awaiting_first_request: may_ask_yet,
         }
     }
 }
@@ -101,7 +101,7 @@
         let abandoned =
             self.sessions.get(&id).is_some_and(|s| matches!(s.stage, Stage::Waiting(_)) && !s.disconnected);
         if abandoned {
-            exchange.violated(turn, Rule::ClosedUnanswered, None);
+            exchange.record_violation(turn, Rule::ClosedUnanswered, None);
         }
     }
 }
--- a/crates/gradeshunt/src/frontend/eviction.rs
+++ b/crates/gradeshunt/src/frontend/eviction.rs
@@ -1,7 +1,7 @@
 //! Chooses the clients that are closed between requests: to make room, because they are idle among many, or
 //! because the proxy drains.
 
-use leadmast::permission::{may_close, ClientFacts};
+use leadmast::permission::{may_close, ClientState};
 use leadmast::Micros;
 use slog::info;
 
@@ -134,8 +134,8 @@
         idle.sort();
         // A request that is unread in the socket counts as accepted. An incomplete first message does not.
         let is_closable = |id: &SessionId| {
-            let facts = self.sessions.get(id).map(|s| ClientFacts {
-                message_begun: s.has_sent_query && !s.inbound.is_empty(),
+            let facts = self.sessions.get(id).map(|s| ClientState {
+                message_partly_read: s.has_sent_query && !s.inbound.is_empty(),
                 answer_unwritten: s.has_sent_query && !s.outbound.is_empty(),
                 ..s.close_facts(false)
             });
--- a/crates/gradeshunt/src/frontend/listener.rs
+++ b/crates/gradeshunt/src/frontend/listener.rs
@@ -84,17 +84,17 @@
                         warn!(turn.log, "cannot serve a connection"; "error" => e.to_string());
                     }
                 }
-                Err(e) => match AcceptFailure::of(&e) {
-                    AcceptFailure::NoneWaits => {
+                Err(e) => match AcceptFailure::from_error(&e) {
+                    AcceptFailure::NoneWaiting => {
                         self.backlog_since[backlog] = None;
                         return Backlog::Empty;
                     }
-                    AcceptFailure::ThatConnection => {}
+                    AcceptFailure::BrokenConnection => {}
                     failure => {
                         // The next accept would fail likewise, so the listener is tried again only after a
                         // pause.
                         warn!(turn.log, "cannot accept connections"; "error" => e.to_string());
-                        if failure == AcceptFailure::Descriptors {
+                        if failure == AcceptFailure::OutOfDescriptors {
                             self.evict_one(turn);
                         }
                         // As far as is known, the waiting connections have been waiting since this turn's
--- a/crates/gradeshunt/src/frontend/session.rs
+++ b/crates/gradeshunt/src/frontend/session.rs
@@ -129,8 +129,11 @@
                 Ok(Transfer::Bytes(_)) => {
                     // Refusing one large request is better than having the process killed for its memory use.
                     let waiting = matches!(s.stage, Stage::Waiting(_));
-                    if s.inbound.len() > INITIAL_RING_SIZE && !waiting && memory::held() > self.max_buffered {
-                        warn!(turn.log, "too much in buffers, turning a client away"; "bytes" => memory::held());
+                    if s.inbound.len() > INITIAL_RING_SIZE
+                        && !waiting
+                        && memory::total_buffered() > self.max_buffered
+                    {
+                        warn!(turn.log, "too much in buffers, turning a client away"; "bytes" => memory::total_buffered());
                         let w = Writer::default();
                         let error = w.error("FATAL", sqlstate::TOO_MANY_CONNECTIONS, "out of memory", None);
                         return self.close_with(turn, id, error, CloseReason::OutOfMemory);
@@ -213,7 +216,7 @@
         self.check_abandoned(turn, exchange, id);
         if let Some(request) = waiting {
             self.release_request(request);
-            exchange.gone(turn, request);
+            exchange.client_gone(turn, request);
         }
         self.close(turn, id);
     }
--- a/crates/gradeshunt/src/frontend/statements.rs
+++ b/crates/gradeshunt/src/frontend/statements.rs
@@ -8,7 +8,7 @@
 use slog::debug;
 
 use super::{Frontend, ServiceState};
-use crate::exchange::{Body, Call, Form};
+use crate::exchange::{AnswerForm, Body, IncomingRequest};
 use crate::ids::SessionId;
 use crate::pg::{self, sqlstate, Writer};
 use crate::routing::{Decision, Destination};
@@ -19,7 +19,7 @@
     /// The proxy answers the query itself.
     Reply(Writer),
     /// The query becomes a request with this id.
-    Request(Box<Call>, Rc<str>),
+    Request(Box<IncomingRequest>, Rc<str>),
 }
 
 impl Frontend {
@@ -91,9 +91,20 @@
         let (repeat, wait_span) = (routing.repeat, routing.wait_span);
         let tenant = routing.tenant.and_then(|t| self.names.tenant(t));
         debug!(turn.log, "request"; "class" => class.0, "wait_ms" => routing.wait_ms);
-        let body = Body::new(text, Some(wait_span), Form::Value);
+        let body = Body::new(text, Some(wait_span), AnswerForm::Value);
         let checked = true;
-        let call = Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body };
+        let call = IncomingRequest {
+            class,
+            group,
+            key,
+            deadline,
+            since_write,
+            repeat,
+            checked,
+            tenant,
+            source,
+            body,
+        };
         Ok(QueryOutcome::Request(Box::new(call), id))
     }
 
@@ -124,15 +135,26 @@
             let mut body = format!("/* id={id},c={},d=", self.names.classes[class.0]);
             let at = body.len()..body.len();
             body += &format!(",cluster={} */ {statement}", group.0);
-            Body::new(body.into_bytes(), Some(at), Form::Result)
+            Body::new(body.into_bytes(), Some(at), AnswerForm::Result)
         } else {
-            Body::new(text, None, Form::Result)
+            Body::new(text, None, AnswerForm::Result)
         };
         let key = Some(fnv(&format!("session {}", session.0)));
         let deadline = self.deadline(arrived, wait);
         let (tenant, source) = (None, Source::Client);
         let (repeat, checked) = (false, false);
-        let call = Call { class, group, key, deadline, since_write, repeat, checked, tenant, source, body };
+        let call = IncomingRequest {
+            class,
+            group,
+            key,
+            deadline,
+            since_write,
+            repeat,
+            checked,
+            tenant,
+            source,
+            body,
+        };
         Ok(QueryOutcome::Request(Box::new(call), id))
     }
 
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -9,7 +9,7 @@
 use super::eviction::{eviction_rank, FIRST_REQUEST_LIMIT, RECENT_ACTIVITY};
 use super::session::{Stage, CLOSE_STALL_TIMEOUT, LINGER};
 use super::Frontend;
-use crate::exchange::{Body, Call, Exchange, Final, Form};
+use crate::exchange::{AnswerForm, Body, Exchange, FinalAnswer, IncomingRequest};
 use crate::ids::SessionId;
 use crate::pg::{Writer, MAX_BUFFERED_ANSWER};
 use crate::ring::MAX_RING_SIZE;
@@ -206,13 +206,13 @@
     /// expired.
     fn count_expired(&mut self, at: Micros) -> u64 {
         self.turn.now = at;
-        self.frontend.answer(&mut self.turn, &mut self.exchange, RequestId(0), Final::Failed(None));
+        self.frontend.answer(&mut self.turn, &mut self.exchange, RequestId(0), FinalAnswer::Failed(None));
         loop {
             if let Some((request, answer)) = self.exchange.answers.pop_front() {
                 let crate::exchange::Answer::Final(last) = answer else { panic!("a part of an answer") };
                 // No db host is known, so the decision module refuses requests, also those with little time
                 // left.
-                assert!(matches!(last, Final::Refused { .. }), "{last:?}");
+                assert!(matches!(last, FinalAnswer::Refused { .. }), "{last:?}");
                 self.frontend.answer(&mut self.turn, &mut self.exchange, request, last);
             } else if self.turn.unfinished.pop().is_some() {
                 self.frontend.ready(&mut self.turn, &mut self.exchange, self.id);
@@ -307,8 +307,8 @@
 }
 
 /// A request whose wait ends at `deadline`.
-fn call_with_deadline(deadline: Micros) -> Call {
-    Call {
+fn call_with_deadline(deadline: Micros) -> IncomingRequest {
+    IncomingRequest {
         class: leadmast::ClassId(0),
         group: GroupId(1),
         key: None,
@@ -318,7 +318,7 @@
         checked: true,
         tenant: None,
         source: gradeshunt_placement::Source::Client,
-        body: Body::new(Vec::new(), None, Form::Value),
+        body: Body::new(Vec::new(), None, AnswerForm::Value),
     }
 }
 
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy: its parts, and what passes between them.
+//! The proxy: owns the program's parts and carries messages between them.
 
 mod changes;
 mod lifetime;
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 
 use calloop::EventLoop;
-use leadmast::permission::{may_end, ProcessFacts};
+use leadmast::permission::{may_exit, ProcessState};
 use leadmast::Micros;
 use slog::{info, warn, Logger};
 
@@ -22,24 +22,24 @@
 use crate::deadlines::DeadlineKind;
 use crate::exchange;
 use crate::frontend::Frontend;
-use crate::resumed::Resumed;
+use crate::resumed::RetryInterrupted;
 use crate::shared::worker::{Wake, Worker};
 use crate::shared::{self, Shared};
 use crate::transient::retry_while_transient;
 use crate::turn::{self, EventSource, ReadySources};
 
-const SUMMARY: Micros = 10_000_000;
-/// Interval of the looks at what the processes of this proxy share.
+const SUMMARY_INTERVAL: Micros = 10_000_000;
+/// Interval at which the state shared with other processes of this proxy is read.
 const SHARED_STATE_POLL_INTERVAL: Micros = 50_000;
-/// A new process waits so long to see what others of its proxy do.
+/// How long a new process waits to learn what other processes of its proxy do.
 const SHARED_STATE_TIMEOUT: Micros = 2_000_000;
-/// A process that starts beside another waits for discovery so much longer than discovery may be silent, well within
-/// the 6 s that it has.
+/// A process that starts while another one runs waits this much longer for discovery than discovery may be
+/// silent, well within the 6 s that it has.
 const DISCOVERY_GRACE: Micros = 1_000_000;
-/// Descriptors for operators' connections.
-const OPERATORS: usize = 12;
+/// Descriptors reserved for operators' connections.
+const OPERATOR_SOCKETS: usize = 12;
 
-/// The program: its parts, and what passes between them.
+/// The program's parts, and the state that belongs to none of them.
 pub struct Proxy {
     pub(crate) core: Core,
     frontend: Frontend,
@@ -47,39 +47,41 @@
     control: Option<Control>,
     shared: Shared,
     worker: Worker,
-    /// What this proxy may hold, with another process of it where there is one.
+    /// Descriptors and bytes of memory that this proxy may use, shared by its processes while two of them
+    /// run.
     sockets: usize,
-    memory: usize,
-    /// Whether the platform holds the clients' socket.
-    held: bool,
-    /// The clients' socket, until it is served.
-    waiting: Option<TcpListener>,
-    /// The socket for other proxies, until they are served.
+    memory_bytes: usize,
+    /// Whether the platform holds the clients' socket and passes it to this process.
+    is_socket_inherited: bool,
+    /// The clients' socket, until this process accepts connections on it.
+    unserved_listener: Option<TcpListener>,
+    /// The socket for other proxies, until this process accepts connections on it.
     peer_socket: Option<socket2::Socket>,
-    /// When it begins at the latest, until it has.
+    /// Time at which the proxy begins at the latest; `None` once it has begun.
     begin_by: Option<Micros>,
     /// How long discovery may be silent.
-    silence: Micros,
-    /// Why the program can't go on.
-    pub failed: Option<String>,
-    /// Names of the classes, for the figures.
+    watch_silence: Micros,
+    /// Why the program can't continue.
+    pub fatal_error: Option<String>,
+    /// Names of the classes, for the metrics.
     classes: Vec<String>,
-    /// And of the tenants.
+    /// Names of the tenants, for the metrics.
     tenants: Vec<String>,
-    longest: Micros,
+    longest_deadline: Micros,
     connect_timeout: Micros,
-    terminating: bool,
-    leave: bool,
-    /// When it has to have ended, once it was told to.
+    is_terminating: bool,
+    must_leave: bool,
+    /// Time by which the process must have ended; set at SIGTERM.
     end_by: Option<Micros>,
 }
 
 impl Proxy {
-    /// Opens the sockets and starts the thread for file work. Clients are served once it has begun.
+    /// Opens the sockets and starts the thread for file work. Clients are served only after the proxy has
+    /// begun.
     ///
     /// # Errors
     ///
-    /// Where the system gives no socket, poll or thread, in words for the operator.
+    /// If the system provides no socket, poll or thread; the text is for the operator.
     pub fn new(
         config: Config,
         file: Option<PathBuf>,
@@ -88,14 +90,14 @@
     ) -> Result<Proxy, String> {
         let (ping, pinged) =
             retry_while_transient(calloop::ping::make_ping).map_err(|e| format!("cannot poll: {e}"))?;
-        let source = Resumed(pinged);
-        let told =
+        let source = RetryInterrupted(pinged);
+        let registered =
             event_loop.handle().insert_source(source, |(), (), ready| ready.push(EventSource::FileTask));
-        told.map_err(|e| format!("cannot poll: {e}"))?;
+        registered.map_err(|e| format!("cannot poll: {e}"))?;
         Proxy::with_waker(config, file, event_loop, log, ping)
     }
 
-    /// The proxy whose thread for file work wakes the loop by `waker`.
+    /// Creates a proxy whose thread for file work wakes the loop through `waker`.
     fn with_waker(
         mut config: Config,
         file: Option<PathBuf>,
@@ -105,8 +107,19 @@
     ) -> Result<Proxy, String> {
         let mut core = Core::new(&mut config, event_loop, log)?;
         let tenants = config.tenants();
-        let Config { name, listen, listen_fd, control, sockets, memory, silence, facts, rules, .. } = config;
-        let longest = facts.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let Config {
+            name,
+            listen,
+            listen_fd,
+            control,
+            sockets,
+            memory_bytes,
+            watch_silence,
+            facts,
+            rules,
+            ..
+        } = config;
+        let longest_deadline = facts.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let classes = facts.names.classes.clone();
         let connect_timeout = facts.connections.connect_timeout;
         let backend = Backend::new(facts.connections, &facts.names);
@@ -119,14 +132,14 @@
         let mut frontend = Frontend::new(facts.settings, facts.names);
         frontend.set_rules(rules);
         let listen = |addr| {
-            retry_while_transient(|| Control::listen(&core.turn, addr, OPERATORS))
+            retry_while_transient(|| Control::listen(&core.turn, addr, OPERATOR_SOCKETS))
                 .map_err(|e| format!("cannot listen at {addr}: {e}"))
         };
         let control = control.map(listen).transpose()?;
         let worker = Worker::start(move || shared::files::open(&name), file, waker);
         let worker = worker.map_err(|e| format!("cannot start a thread: {e}"))?;
         let turn = &mut core.turn;
-        turn.deadlines.set(turn.now + SUMMARY, DeadlineKind::Summary);
+        turn.deadlines.set(turn.now + SUMMARY_INTERVAL, DeadlineKind::Summary);
         turn.deadlines.set(turn.now, DeadlineKind::ScanIdleClients);
         turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, DeadlineKind::CheckSharedFolder);
         let begin_by = turn.now + SHARED_STATE_TIMEOUT;
@@ -139,55 +152,56 @@
             shared: Shared::new(),
             worker,
             sockets,
-            memory,
-            held: listen_fd.is_some(),
-            waiting: Some(listener),
+            memory_bytes,
+            is_socket_inherited: listen_fd.is_some(),
+            unserved_listener: Some(listener),
             peer_socket: None,
             begin_by: Some(begin_by),
-            silence,
-            failed: None,
+            watch_silence,
+            fatal_error: None,
             classes,
             tenants,
-            longest,
+            longest_deadline,
             connect_timeout,
-            terminating: false,
-            leave: false,
+            is_terminating: false,
+            must_leave: false,
             end_by: None,
         };
-        proxy.share_limits();
+        proxy.apply_limits();
         proxy.open_placement()?;
-        proxy.watch_sites();
-        proxy.settle();
+        proxy.check_sites();
+        proxy.run_until_idle();
         Ok(proxy)
     }
 
-    /// Begins once it is known which db hosts are held out and whether another process serves, or when that takes too
-    /// long. Beside another process there is time to hear discovery first; alone, clients wait already.
+    /// Begins once it is known which db hosts are held out and whether another process serves, or when
+    /// learning that takes too long. While another process serves, there is time to wait for discovery's
+    /// list; if this process is alone, clients are waiting already.
     fn begin(&mut self) {
         let Some(by) = self.begin_by.take() else { return };
         self.core.turn.deadlines.clear(by, DeadlineKind::SharedFolderTimeout);
-        self.share_limits();
+        self.apply_limits();
         self.core.start();
-        self.settle();
+        self.run_until_idle();
         if self.shared.is_alone() {
             self.serve();
         } else {
-            info!(self.core.turn.log, "starting beside another process"; "control" => self.operators());
-            self.core
-                .turn
-                .deadlines
-                .set(self.core.turn.now + self.silence + DISCOVERY_GRACE, DeadlineKind::DiscoveryTimeout);
+            info!(self.core.turn.log, "starting while another process of this proxy runs"; "control" => self.operators_address());
+            self.core.turn.deadlines.set(
+                self.core.turn.now + self.watch_silence + DISCOVERY_GRACE,
+                DeadlineKind::DiscoveryTimeout,
+            );
         }
     }
 
-    /// Carries what the parts have for each other, until none has anything left.
-    fn settle(&mut self) {
+    /// Carries orders, answers and file work between the parts until none is left.
+    fn run_until_idle(&mut self) {
         loop {
             if let Some(step) = self.core.next_step() {
-                self.take(step);
-            } else if let Some(task) = self.shared.next(self.core.turn.now) {
-                if !self.worker.ask(task) {
-                    warn!(self.core.turn.log, "file work is lost: its thread has ended or is too far behind");
+                self.carry_out_step(step);
+            } else if let Some(task) = self.shared.next_task(self.core.turn.now) {
+                if !self.worker.submit(task) {
+                    warn!(self.core.turn.log, "file work dropped: its thread has ended or is too far behind");
                 }
             } else {
                 return;
@@ -195,12 +209,12 @@
         }
     }
 
-    /// Does what the control part leaves to those who have sockets.
-    fn take(&mut self, step: Step) {
+    /// Carries out a step of the control core that needs sockets.
+    fn carry_out_step(&mut self, step: Step) {
         let Core { turn, exchange, .. } = &mut self.core;
         match step {
-            Step::List(list) => self.list(&list),
-            Step::Order(order) => self.backend.carry_out(turn, exchange, order),
+            Step::List(list) => self.apply_list(&list),
+            Step::Order(order) => self.backend.execute(turn, exchange, order),
             Step::Answer(request, exchange::Answer::Part(bytes)) => {
                 self.frontend.forward_part(turn, exchange, request, &bytes)
             }
@@ -210,34 +224,35 @@
         }
     }
 
-    /// The module has heard of a list: the pool follows, and what is held out stays so.
-    fn list(&mut self, list: &List) {
+    /// Applies a list that the decision library has received: the connection pool follows it, and db hosts
+    /// that are held out stay held out.
+    fn apply_list(&mut self, list: &List) {
         let Core { turn, exchange, .. } = &mut self.core;
         self.frontend.has_hosts |= list.entries() > 0;
-        self.backend.list(turn, exchange, list.kind, &list.listed);
-        // The ban on a name outlasts whatever the list says of it.
+        self.backend.apply_list(turn, exchange, list.kind, &list.listed);
+        // A hold-out belongs to a name and outlasts whatever the list says.
         for l in list.listed.iter().filter(|l| self.shared.is_held_out(&l.id)) {
-            exchange.maintain(turn, l.member, true);
-            self.backend.maintain(turn, exchange, l.member, true);
+            exchange.set_held_out(turn, l.member, true);
+            self.backend.set_held_out(turn, exchange, l.member, true);
         }
-        let lost = |l: &&backend::Listed| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
-        for member in list.listed.iter().filter(lost).map(|l| l.member).collect::<Vec<_>>() {
-            exchange.maintain(turn, member, true);
+        let at_lost_site = |l: &&backend::Listed| exchange.sites.as_ref().is_some_and(|s| s.is_out(l.member));
+        for member in list.listed.iter().filter(at_lost_site).map(|l| l.member).collect::<Vec<_>>() {
+            exchange.set_held_out(turn, member, true);
         }
         if list.is_from_discovery() && self.frontend.has_hosts {
             self.serve();
         }
     }
 
-    /// Whether the program may end: all is answered, or it is time to leave.
+    /// Whether the program may end: every request is answered, or it must leave now.
     pub fn is_done(&self) -> bool {
-        let process = ProcessFacts {
-            must_leave: self.leave,
+        let process = ProcessState {
+            must_exit: self.must_leave,
             serving: self.frontend.may_accept(),
             clients_open: self.frontend.has_clients(),
             requests_open: !self.core.exchange.is_idle(),
         };
-        may_end(&process).is_ok()
+        may_exit(&process).is_ok()
     }
 }
 
@@ -253,15 +268,15 @@
             EventSource::Listener => self.frontend.accept(turn),
             EventSource::PeerListener => self.frontend.accept_peers(turn),
             EventSource::Session(id) => self.frontend.ready(turn, exchange, id),
-            EventSource::Server(id) => self.backend.ready(turn, exchange, id),
+            EventSource::Server(id) => self.backend.handle_socket_ready(turn, exchange, id),
             EventSource::Call(_) => {}
             EventSource::Control => self.control.iter_mut().for_each(|c| c.accept(turn)),
-            EventSource::Caller(id) => self.call(id),
+            EventSource::Caller(id) => self.serve_operator(id),
             EventSource::Terminate => self.terminate(),
             EventSource::Reload => self.shared.reread(),
-            EventSource::FileTask => self.file_work_done(),
+            EventSource::FileTask => self.collect_file_work(),
         }
-        self.settle();
+        self.run_until_idle();
     }
 
     fn on_deadline(&mut self, due: DeadlineKind) {
@@ -284,11 +299,11 @@
             DeadlineKind::RetryAcceptCallers => self.control.iter_mut().for_each(|c| c.accept(turn)),
             DeadlineKind::CheckSharedFolder => {
                 turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, DeadlineKind::CheckSharedFolder);
-                // The ping that tells of work done may have failed.
-                self.file_work_done();
+                // The ping that announces completed work may have failed.
+                self.collect_file_work();
                 let turn = &self.core.turn;
-                let stands = self.shared.look(turn.now);
-                stands.into_iter().for_each(|c| self.change(c));
+                let complaint = self.shared.request_scan(turn.now);
+                complaint.into_iter().for_each(|c| self.apply_change(c));
             }
             DeadlineKind::SharedFolderTimeout => self.begin(),
             DeadlineKind::ScanIdleClients => self.frontend.close_idle_clients(turn),
@@ -297,17 +312,17 @@
             DeadlineKind::DiscoveryTimeout => {
                 turn.deadlines.set(turn.now + SHARED_STATE_POLL_INTERVAL, DeadlineKind::DiscoveryTimeout)
             }
-            DeadlineKind::CheckSites => self.watch_sites(),
+            DeadlineKind::CheckSites => self.check_sites(),
             DeadlineKind::Summary => {
-                exchange.sum_up(turn);
+                exchange.log_summary(turn);
                 self.frontend.log_summary(turn);
                 self.core.loop_stats.log_summary(&turn.log);
-                turn.deadlines.set(turn.now + SUMMARY, DeadlineKind::Summary);
+                turn.deadlines.set(turn.now + SUMMARY_INTERVAL, DeadlineKind::Summary);
             }
-            DeadlineKind::LastAnswers => exchange.end_all(turn),
-            DeadlineKind::Exit => self.leave = true,
+            DeadlineKind::LastAnswers => exchange.answer_all_at_shutdown(turn),
+            DeadlineKind::Exit => self.must_leave = true,
         }
-        self.settle();
+        self.run_until_idle();
     }
 }
 
--- a/crates/gradeshunt/src/ring.rs
+++ b/crates/gradeshunt/src/ring.rs
@@ -5,7 +5,7 @@
 
 use rustix::io::Errno;
 
-use crate::memory::Held;
+use crate::memory::BufferBytes;
 
 /// Initial size of a ring's buffer in bytes.
 pub const INITIAL_RING_SIZE: usize = 2 * 1024;
@@ -32,7 +32,7 @@
     buf: Vec<u8>,
     head: usize,
     len: usize,
-    held: Held,
+    held: BufferBytes,
 }
 
 impl Ring {
--- a/crates/gradeshunt/src/ring/tests.rs
+++ b/crates/gradeshunt/src/ring/tests.rs
@@ -26,10 +26,10 @@
     let mut ring = Ring::default();
     assert!(ring.push(&vec![1; MAX_RING_SIZE]));
     assert!(ring.is_full() && !ring.push(&[1]));
-    assert_eq!(memory::held(), MAX_RING_SIZE);
+    assert_eq!(memory::total_buffered(), MAX_RING_SIZE);
     ring.consume(MAX_RING_SIZE);
-    assert_eq!((ring.buf.len(), memory::held()), (0, 0));
+    assert_eq!((ring.buf.len(), memory::total_buffered()), (0, 0));
     assert!(ring.push(&[1]));
     drop(ring);
-    assert_eq!(memory::held(), 0);
+    assert_eq!(memory::total_buffered(), 0);
 }
--- a/crates/gradeshunt/src/routing/rules.rs
+++ b/crates/gradeshunt/src/routing/rules.rs
@@ -5,7 +5,7 @@
 
 use gradeshunt_classing::{Access, Declared};
 use gradeshunt_textproto::{Message, Schema};
-use leadmast::settings::Facts;
+use leadmast::settings::ParsedSettings;
 use leadmast::{Effect, GroupId, Micros};
 
 use super::{is_write_class, Match, Route, Rules};
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// The first error as a single line of text, preceded by its line number if it is one of syntax.
-pub fn parse(text: &str, facts: &Facts) -> Result<Rules, String> {
+pub fn parse(text: &str, facts: &ParsedSettings) -> Result<Rules, String> {
     let message = parse_message(text)?;
     let routes =
         message.list("route").iter().map(|r| parse_route(r, facts)).collect::<Result<Vec<_>, _>>()?;
@@ -71,7 +71,7 @@
     })
 }
 
-fn parse_route(route: &Message, facts: &Facts) -> Result<Route, String> {
+fn parse_route(route: &Message, facts: &ParsedSettings) -> Result<Route, String> {
     let name = route.text("name");
     let class = route.text("class");
     let classes = &facts.names;
--- a/crates/gradeshunt/src/shared/files.rs
+++ b/crates/gradeshunt/src/shared/files.rs
@@ -1,6 +1,6 @@
-//! The folder in `$TMPDIR` that tells which db hosts are held out by hand, and what each process of this proxy does:
-//! the only place where the program touches files once it serves. All of it may wait on a disk, so it is called on the
-//! worker's thread alone.
+//! The folder in `$TMPDIR` that records which db hosts an operator holds out and the state of each process of
+//! this proxy. After start-up this is the only place where the program touches files. Any of these calls may
+//! block on the disk, so only the worker's thread makes them.
 
 use std::collections::BTreeSet;
 use std::fs::{self, File, TryLockError};
@@ -8,30 +8,31 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-use super::{Duty, View};
+use super::{ProcessState, View};
 
-/// Names longer than this make no file name.
-const LONGEST: usize = 100;
-/// Process files, and how many there may be.
-const PROCESS: &str = "process-";
-const MOST: usize = 64;
+/// Longest id of a db host that can be part of a file name; hex encoding doubles it.
+const LONGEST_ID: usize = 100;
+/// Prefix of the processes' lock files.
+const PROCESS_FILE_PREFIX: &str = "process-";
+/// Most processes of a proxy that can share the folder.
+const MAX_PROCESSES: usize = 64;
 
-/// The file work of the processes of one proxy.
+/// File operations shared by the processes of one proxy.
 pub trait Files: Send {
-    /// Tells the other processes what this one does.
-    fn tell(&mut self, duty: Duty) -> io::Result<()>;
-    /// Holds a db host out, or readmits it.
+    /// Publishes this process's state to the other processes.
+    fn publish(&mut self, state: ProcessState) -> io::Result<()>;
+    /// Holds a db host out (`out`) or readmits it.
     fn hold_out(&mut self, id: &str, out: bool) -> io::Result<()>;
-    /// What there is to see.
-    fn look(&mut self) -> io::Result<View>;
+    /// Reads the folder's current contents.
+    fn scan(&mut self) -> io::Result<View>;
 }
 
-/// Without a folder all stays with this process.
+/// Used without a folder: the state stays within this process.
 #[derive(Default)]
-pub struct Alone(View);
+pub struct InMemory(View);
 
-impl Files for Alone {
-    fn tell(&mut self, _: Duty) -> io::Result<()> {
+impl Files for InMemory {
+    fn publish(&mut self, _: ProcessState) -> io::Result<()> {
         Ok(())
     }
 
@@ -44,53 +45,54 @@
         Ok(())
     }
 
-    fn look(&mut self) -> io::Result<View> {
+    fn scan(&mut self) -> io::Result<View> {
         Ok(self.0.clone())
     }
 }
 
-/// Opens what this process shares with others: the folder of the proxy `name` in `$TMPDIR`, where that is set.
+/// Opens the state shared between the processes of the proxy `name`: a folder in `$TMPDIR`, or memory where
+/// `$TMPDIR` is not set.
 ///
 /// # Errors
-/// Those of the folder, which may pass.
+/// Those of opening the folder, which may be transient.
 pub fn open(name: &str) -> io::Result<Box<dyn Files>> {
     let tmp = std::env::var_os("TMPDIR").filter(|d| !d.is_empty());
     match tmp {
-        None => Ok(Box::new(Alone::default())),
+        None => Ok(Box::new(InMemory::default())),
         Some(tmp) => Ok(Box::new(Folder::open(Path::new(&tmp), name)?)),
     }
 }
 
-/// The real folder.
+/// The shared folder on disk.
 pub struct Folder {
     path: PathBuf,
-    /// This process's file, locked, and its number.
+    /// This process's locked file, and its number.
     own: File,
     number: usize,
 }
 
 impl Folder {
-    /// The folder of the proxy `name` in the folder `tmp`; it is made where it isn't there, and this process takes its
-    /// place in it.
+    /// Opens the folder of the proxy `name` below `tmp`, creating it if it is missing, and claims a process
+    /// file in it.
     pub fn open(tmp: &Path, name: &str) -> io::Result<Self> {
         let path = tmp.join(format!("gradeshunt-{}", hex(name)));
         fs::create_dir_all(&path)?;
         let (own, number) = claim(&path)?;
         let mut folder = Folder { path, own, number };
-        // What an earlier process has left in this file is not this one's duty.
-        folder.tell(Duty::Starting)?;
+        // The file may still hold the state of an earlier process.
+        folder.publish(ProcessState::Starting)?;
         Ok(folder)
     }
 }
 
 impl Files for Folder {
-    fn tell(&mut self, duty: Duty) -> io::Result<()> {
-        self.own.write_all_at(&[byte(duty)], 0)
+    fn publish(&mut self, state: ProcessState) -> io::Result<()> {
+        self.own.write_all_at(&[encode(state)], 0)
     }
 
     fn hold_out(&mut self, id: &str, out: bool) -> io::Result<()> {
         let file = self.path.join(format!("out-{}", hex(id)));
-        match (out, id.len() <= LONGEST) {
+        match (out, id.len() <= LONGEST_ID) {
             (true, false) => Err(io::ErrorKind::InvalidFilename.into()),
             (true, true) => File::create(file).map(drop),
             (false, _) => match fs::remove_file(file) {
@@ -100,25 +102,26 @@
         }
     }
 
-    fn look(&mut self) -> io::Result<View> {
-        let (mut held_out, mut other) = (BTreeSet::new(), None);
+    fn scan(&mut self) -> io::Result<View> {
+        let (mut held_out, mut other_process) = (BTreeSet::new(), None);
         for file in fs::read_dir(&self.path)? {
             let name = file?.file_name();
             let name = name.to_str().unwrap_or_default();
             held_out.extend(name.strip_prefix("out-").and_then(unhex));
-            let process = name.strip_prefix(PROCESS).and_then(|n| n.parse::<usize>().ok());
+            let process = name.strip_prefix(PROCESS_FILE_PREFIX).and_then(|n| n.parse::<usize>().ok());
             if process.is_some_and(|n| n != self.number) {
-                other = other.max(duty(&self.path.join(name))?);
+                other_process = other_process.max(read_state(&self.path.join(name))?);
             }
         }
-        Ok(View { held_out, other })
+        Ok(View { held_out, other_process })
     }
 }
 
-/// Locks the first process file that nobody holds. The files stay: to remove one could take it from under another.
+/// Locks the first process file that no process holds. The files are never removed: another process could be
+/// about to lock the one that is removed.
 fn claim(folder: &Path) -> io::Result<(File, usize)> {
-    for n in 0..MOST {
-        let path = folder.join(format!("{PROCESS}{n}"));
+    for n in 0..MAX_PROCESSES {
+        let path = folder.join(format!("{PROCESS_FILE_PREFIX}{n}"));
         let file = File::options().write(true).create(true).truncate(false).open(path)?;
         match file.try_lock() {
             Ok(()) => return Ok((file, n)),
@@ -129,34 +132,37 @@
     Err(io::Error::other("too many processes of this proxy"))
 }
 
-/// What the process of this file does, if it lives.
-fn duty(path: &Path) -> io::Result<Option<Duty>> {
+/// Returns the state of the process that holds this file, or `None` if no process does.
+fn read_state(path: &Path) -> io::Result<Option<ProcessState>> {
     let file = File::open(path)?;
     match file.try_lock_shared() {
         Ok(()) => Ok(None),
         Err(TryLockError::Error(e)) => Err(e),
         Err(TryLockError::WouldBlock) => {
-            let mut told = [0];
-            // One that has told nothing yet has only just begun.
-            Ok(Some(if file.read_at(&mut told, 0)? == 1 { of(told[0]) } else { Duty::Starting }))
+            let mut byte = [0];
+            // A process whose file is still empty has only just started.
+            Ok(Some(if file.read_at(&mut byte, 0)? == 1 { decode(byte[0]) } else { ProcessState::Starting }))
         }
     }
 }
 
-/// The duty as it stands in the file of a process.
-fn byte(duty: Duty) -> u8 {
-    match duty {
-        Duty::Leaving => b'l',
-        Duty::Starting => b's',
-        Duty::Serving => b'r',
+/// The byte that stands for the state in a process file.
+fn encode(state: ProcessState) -> u8 {
+    match state {
+        ProcessState::Leaving => b'l',
+        ProcessState::Starting => b's',
+        ProcessState::Serving => b'r',
     }
 }
 
-fn of(told: u8) -> Duty {
-    [Duty::Leaving, Duty::Serving].into_iter().find(|d| byte(*d) == told).unwrap_or(Duty::Starting)
+fn decode(byte: u8) -> ProcessState {
+    [ProcessState::Leaving, ProcessState::Serving]
+        .into_iter()
+        .find(|d| encode(*d) == byte)
+        .unwrap_or(ProcessState::Starting)
 }
 
-/// Any name as part of a file name.
+/// Encodes any name so that it can be part of a file name.
 fn hex(name: &str) -> String {
     name.bytes().map(|b| format!("{b:02x}")).collect()
 }
--- a/crates/gradeshunt/tests/config.rs
+++ b/crates/gradeshunt/tests/config.rs
@@ -1,10 +1,10 @@
-//! A configuration that cannot be used ends the program at once, with one plain line.
+//! Tests that an unusable configuration ends the program at once with a one-line error.
 
 use std::path::Path;
 use std::process::Command;
 
 #[test]
-fn bad_configuration_gets_a_plain_error() {
+fn bad_configuration_gets_a_one_line_error() {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let good = include_str!("../../../examples/config.json");
     let shared = include_str!("../../../examples/shared.json");
@@ -22,8 +22,12 @@
             good.replace("\"fleetSize\": 1", "\"fleetSize\": -3"),
             "fleetSize is not a whole number",
         ),
-        ("beyond-fleet", good.replace("\"me\": 0", "\"me\": 1"), "me is 1, of proxies 0 to 0"),
-        ("odd-tenant", shared.replace("60.0", "-1.0"), "quotaRps of \"north\" is -1, and no rate"),
+        (
+            "beyond-fleet",
+            good.replace("\"me\": 0", "\"me\": 1"),
+            "me is 1, but must be below facts.fleetSize (1)",
+        ),
+        ("odd-tenant", shared.replace("60.0", "-1.0"), "quotaRps of \"north\" is -1, but must be 0 or more"),
         ("twice-a-tenant", shared.replace("south", "north"), "names \"north\" twice"),
         ("no-worth", shared.replace("overShareWorth", "overWorth"), "overShareWorth is missing"),
         (
@@ -74,37 +78,39 @@
     ];
     for (name, text, complaint) in cases {
         let file = dir.join(format!("{name}.json"));
-        std::fs::write(&file, text).expect("a file");
+        std::fs::write(&file, text).expect("the file can be written");
         let run = Command::new(env!("CARGO_BIN_EXE_gradeshunt"))
             .env("ROUTER_CONFIG", &file)
             .env_remove("ROUTER_CONTROL")
             .env_remove("ROUTER_LISTEN_FD")
             .output()
-            .expect("it runs");
-        let said = String::from_utf8_lossy(&run.stderr);
-        assert_eq!(run.status.code(), Some(1), "{name}: {said}");
-        let line = said.strip_suffix('\n').unwrap_or_default();
+            .expect("the program can be started");
+        let stderr = String::from_utf8_lossy(&run.stderr);
+        assert_eq!(run.status.code(), Some(1), "{name}: {stderr}");
+        let line = stderr.strip_suffix('\n').unwrap_or_default();
         assert!(
             line.starts_with("gradeshunt: ") && line.contains(complaint) && !line.contains('\n'),
-            "{name}: {said}"
+            "{name}: {stderr}"
         );
     }
     let file = dir.join("good.json");
-    std::fs::write(&file, good).expect("a file");
-    let odd = [
+    std::fs::write(&file, good).expect("the file can be written");
+    let bad_environment = [
         ("ROUTER_CONTROL", "localhost", "ROUTER_CONTROL is not an address"),
-        ("ROUTER_LISTEN_FD", "seven", "ROUTER_LISTEN_FD is no descriptor"),
+        ("ROUTER_LISTEN_FD", "seven", "ROUTER_LISTEN_FD is not a descriptor"),
         ("ROUTER_LISTEN_FD", "1000000", "cannot listen on descriptor 1000000"),
     ];
-    for (name, value, complaint) in odd {
+    for (name, value, complaint) in bad_environment {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gradeshunt"));
         command.env("ROUTER_CONFIG", &file).env_remove("ROUTER_CONTROL").env_remove("ROUTER_LISTEN_FD");
-        let run = command.env(name, value).output().expect("it runs");
-        let said = String::from_utf8_lossy(&run.stderr);
-        assert!(run.status.code() == Some(1) && said.contains(complaint), "{name}: {said}");
+        let run = command.env(name, value).output().expect("the program can be started");
+        let stderr = String::from_utf8_lossy(&run.stderr);
+        assert!(run.status.code() == Some(1) && stderr.contains(complaint), "{name}: {stderr}");
     }
-    let run =
-        Command::new(env!("CARGO_BIN_EXE_gradeshunt")).env_remove("ROUTER_CONFIG").output().expect("it runs");
+    let run = Command::new(env!("CARGO_BIN_EXE_gradeshunt"))
+        .env_remove("ROUTER_CONFIG")
+        .output()
+        .expect("the program can be started");
     assert_eq!(
         (run.status.code(), run.stderr.as_slice()),
         (Some(1), &b"gradeshunt: ROUTER_CONFIG is not set\n"[..])
