--- a/crates/gradeshunt/src/cycle/tests.rs
+++ b/crates/gradeshunt/src/cycle/tests.rs
@@ -45,7 +45,7 @@
 /// Requests at the end of a long turn use the current time and not that of the turn's start; otherwise their
 /// db hosts would be sent too long a remaining wait.
 #[test]
-fn time_goes_on_within_a_turn() {
+fn time_advances_within_a_turn() {
     let mut config =
         Config::load(Some(Path::new("../../examples/config.json"))).expect("the example is readable");
     let mut cycle = ProxyLoop::open().expect("a poll");
--- a/crates/gradeshunt/src/frontend/tests.rs
+++ b/crates/gradeshunt/src/frontend/tests.rs
@@ -120,7 +120,7 @@
 /// A lingering session causes no wakeups. Each shutdown of a socket wakes the poll, so a session that shuts
 /// down its socket in every turn would keep the loop busy for ever.
 #[test]
-fn closed_client_that_rests_wakes_nobody() {
+fn lingering_session_causes_no_wakeups() {
     let (mut frontend, mut turn, mut client, id, mut poll) = frontend_with_one_client();
     let mut exchange = Exchange::new(frontend.settings.clone(), Vec::new(), 7, 0);
     frontend.close_with(&mut turn, id, Writer::default(), CloseReason::Idle);
@@ -294,7 +294,7 @@
 
 /// Pipelined requests of a client that has disconnected are dropped unprocessed.
 #[test]
-fn pipeline_of_a_client_that_left_is_dropped() {
+fn pipelined_requests_of_a_disconnected_client_are_dropped() {
     let mut pipeline = Pipeline::begin();
     pipeline.send(10_000, &read_query(1, 100));
     pipeline.client.shutdown(Shutdown::Both).expect("the connection is open");
--- a/crates/gradeshunt/tests/faults.rs
+++ b/crates/gradeshunt/tests/faults.rs
@@ -97,7 +97,7 @@
 /// Most reads of the signal descriptor are interrupted: the process continues to serve, rereads its
 /// configuration on SIGHUP and exits on SIGTERM.
 #[test]
-fn interrupted_read_of_a_signal_ends_nothing() {
+fn interrupted_signal_reads_do_not_stop_the_process() {
     let (_site, config) = open_site();
     let (mut program, control) = start_program("interrupted-signal", config, "");
     let mut client = connect(&program);
@@ -148,7 +148,7 @@
 /// Every other accept fails for want of a system resource other than the process's own descriptors: no idle
 /// client is closed for it, and every new client is served.
 #[test]
-fn accept_that_fails_for_a_moment_closes_nobody() {
+fn transient_accept_errors_close_no_idle_client() {
     const IDLE: usize = 10;
     const NEW: usize = 40;
     let (_site, config) = open_site();
@@ -177,7 +177,7 @@
 /// reads the configuration again. The configuration is a pipe, so that the signal arrives during the first
 /// read.
 #[test]
-fn reload_amid_the_start_ends_nothing() {
+fn reload_during_startup_does_not_stop_the_process() {
     let (_site, mut config) = open_site();
     let shell = "mkfifo \"$TMPDIR/config\"; export ROUTER_CONFIG=\"$TMPDIR/config\";";
     let (program, _control) = start_program("reload-amid-start", config.clone(), shell);
@@ -249,7 +249,7 @@
 /// SIGHUP arrives while clients use up all descriptors, so that the configuration file can't be opened: the
 /// process reads it once a descriptor is free.
 #[test]
-fn reload_without_descriptors_is_made_up_for() {
+fn reload_without_free_descriptors_is_done_later() {
     const DESCRIPTORS: usize = 40;
     let (_site, config) = open_site();
     let (program, _control) = start_program("reload-full", config, &format!("ulimit -n {DESCRIPTORS};"));
@@ -272,7 +272,7 @@
 /// db host is sent at most the remaining time. Another request, at a db host that hangs, measures how long
 /// the client waited.
 #[test]
-fn time_that_a_client_stood_in_the_backlog_counts() {
+fn time_in_the_accept_backlog_counts_toward_the_wait() {
     const WAIT_MS: u64 = 900;
     const PASSED_MS: u64 = 500;
     let (site, config) = open_site();
--- a/crates/gradeshunt/tests/full_log.rs
+++ b/crates/gradeshunt/tests/full_log.rs
@@ -63,7 +63,7 @@
 /// A process whose log nobody reads answers requests and exits on SIGTERM with its lines unwritten. A process
 /// that waits for its log would stay until SIGKILL, and an upgrade would wait with it.
 #[test]
-fn process_whose_log_is_not_read_serves_and_ends() {
+fn process_serves_and_exits_while_its_log_is_not_read() {
     let site = Site::open(Plan::default()).expect("a site");
     let pipe = FullPipe::open("full-log");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("full-log-of-{}", std::process::id()));
