--- a/crates/gradeshunt/src/control.rs
+++ b/crates/gradeshunt/src/control.rs
@@ -297,10 +297,10 @@
 }
 
 /// Renders the metrics in the text exposition format.
-pub fn exposition(figures: &Metrics, classes: &[String], tenants: &[String]) -> String {
+pub fn exposition(metrics: &Metrics, classes: &[String], tenants: &[String]) -> String {
     let statuses = |c: &OutcomeCounts| [("success", c.served), ("overload", c.refused), ("error", c.failed)];
     let mut text = String::from("# TYPE app_replies counter\n");
-    for (class, count) in classes.iter().zip(&figures.classes) {
+    for (class, count) in classes.iter().zip(&metrics.classes) {
         for (status, n) in statuses(count) {
             let _ = writeln!(text, "app_replies{{type=\"{class}\",status=\"{status}\"}} {n}");
         }
@@ -308,7 +308,7 @@
     if !tenants.is_empty() {
         text += "# TYPE app_tenant_replies counter\n";
     }
-    for (tenant, count) in tenants.iter().zip(&figures.tenants) {
+    for (tenant, count) in tenants.iter().zip(&metrics.tenants) {
         for (share, count) in [("within", &count.within), ("beyond", &count.beyond)] {
             for (status, n) in statuses(count) {
                 let labels = format!("tenant={tenant:?},share=\"{share}\",status=\"{status}\"");
@@ -317,14 +317,14 @@
         }
     }
     text += "# TYPE app_violations counter\n";
-    for (rule, n) in figures.violations.by_rule() {
+    for (rule, n) in metrics.violations.by_rule() {
         let _ = writeln!(text, "app_violations{{rule=\"{}\"}} {n}", rule.name());
     }
     let by_label = [
-        ("denials", "reason", &figures.denials),
-        ("retries", "after", &figures.retries),
-        ("answer_checks", "found", &figures.answer_checks),
-        ("client_closes", "reason", &figures.closes),
+        ("denials", "reason", &metrics.denials),
+        ("retries", "after", &metrics.retries),
+        ("answer_checks", "found", &metrics.answer_checks),
+        ("client_closes", "reason", &metrics.closes),
     ];
     for (name, label, counts) in by_label.into_iter().filter(|(.., counts)| !counts.is_empty()) {
         let _ = writeln!(text, "# TYPE app_{name} counter");
@@ -332,20 +332,20 @@
             let _ = writeln!(text, "app_{name}{{{label}=\"{value}\"}} {n}");
         }
     }
-    if !figures.unserved.is_empty() {
+    if !metrics.unserved.is_empty() {
         text += "# TYPE app_not_served counter\n";
     }
-    for ((outcome, reason), n) in &figures.unserved {
+    for ((outcome, reason), n) in &metrics.unserved {
         let _ = writeln!(text, "app_not_served{{outcome=\"{outcome}\",reason=\"{reason}\"}} {n}");
     }
     let totals = [
-        ("dispatches", "counter", figures.dispatches),
-        ("gone_unsent", "counter", figures.gone_unsent),
-        ("sent_after_gone", "counter", figures.sent_after_gone),
-        ("expired_unsent", "counter", figures.expired_unsent),
-        ("concurrent", "gauge", figures.concurrent),
-        ("targets", "gauge", figures.targets),
-        ("targets_disabled", "gauge", figures.targets_avoided),
+        ("dispatches", "counter", metrics.dispatches),
+        ("gone_unsent", "counter", metrics.gone_unsent),
+        ("sent_after_gone", "counter", metrics.sent_after_gone),
+        ("expired_unsent", "counter", metrics.expired_unsent),
+        ("concurrent", "gauge", metrics.concurrent),
+        ("targets", "gauge", metrics.targets),
+        ("targets_disabled", "gauge", metrics.targets_avoided),
     ];
     for (name, kind, n) in totals {
         let _ = writeln!(text, "# TYPE app_{name} {kind}\napp_{name} {n}");
--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -26,7 +26,7 @@
     /// The list of db hosts from the configuration, until [`Core::start`].
     configured_list: Option<ListUpdate>,
     /// Lists and changes from discovery that the decision module has not processed yet.
-    news: Vec<ListUpdate>,
+    pending_updates: Vec<ListUpdate>,
 }
 
 /// Work for the parts that have sockets.
@@ -75,8 +75,9 @@
     ) -> Result<Core, String> {
         let turn = Turn::new(event_loop.handle(), log);
         let facts = &config.facts;
-        let pace = discovery::WatchPolicy::new(&facts.settings);
-        let mut discovery = Discovery::new(config.discovery, config.watch_silence, facts.names.clone(), pace);
+        let watch_policy = discovery::WatchPolicy::new(&facts.settings);
+        let mut discovery =
+            Discovery::new(config.discovery, config.watch_silence, facts.names.clone(), watch_policy);
         let configured_list = std::mem::take(&mut config.known_list);
         let configured_list = if configured_list.is_null() {
             None
@@ -92,20 +93,20 @@
         exchange.sites = config.sites.take();
         exchange.placing = placing;
         let loop_stats = LoopStats::new(turn.now);
-        Ok(Core { turn, exchange, discovery, loop_stats, configured_list, news: Vec::new() })
+        Ok(Core { turn, exchange, discovery, loop_stats, configured_list, pending_updates: Vec::new() })
     }
 
     /// Applies the list of db hosts from the configuration and starts to watch discovery.
     pub fn start(&mut self) {
         // The configured list may be outdated, so it is applied before anything from discovery.
-        self.news.extend(self.configured_list.take());
-        self.discovery.start(&mut self.turn, &mut self.news);
+        self.pending_updates.extend(self.configured_list.take());
+        self.discovery.start(&mut self.turn, &mut self.pending_updates);
     }
 
     /// Processes a source that has become ready. Returns false if the source belongs to another part.
     pub fn process_event(&mut self, source: EventSource) -> bool {
         let EventSource::Call(id) = source else { return false };
-        self.discovery.ready(&mut self.turn, id, &mut self.news);
+        self.discovery.ready(&mut self.turn, id, &mut self.pending_updates);
         true
     }
 
@@ -115,8 +116,8 @@
             DeadlineKind::Module(tag) => self.exchange.timer_due(&mut self.turn, tag),
             DeadlineKind::Overdue(id) => self.exchange.answer_overdue(&mut self.turn, id),
             DeadlineKind::ForwardAgain(id) => self.exchange.forward_due(&mut self.turn, id),
-            DeadlineKind::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.news),
-            DeadlineKind::ReopenWatch => self.discovery.reopen_due(&mut self.turn, &mut self.news),
+            DeadlineKind::Call(id) => self.discovery.call_due(&mut self.turn, id, &mut self.pending_updates),
+            DeadlineKind::ReopenWatch => self.discovery.reopen_due(&mut self.turn, &mut self.pending_updates),
             _ => return false,
         }
         true
@@ -124,7 +125,7 @@
 
     /// Changes discovery's address or the time for which discovery may be silent.
     pub(crate) fn set_discovery(&mut self, to: SocketAddr, silence: Micros) {
-        self.discovery.move_to(&mut self.turn, to, silence, &mut self.news);
+        self.discovery.move_to(&mut self.turn, to, silence, &mut self.pending_updates);
     }
 
     /// Passes queued data between the parts of the core until there is work for another part, or none is
@@ -133,10 +134,10 @@
         loop {
             // The decision module processes a change of the list before the connection pool does, and before
             // any further request is sent.
-            self.news.extend(self.discovery.corrected_starts(&self.turn.clock));
-            if !self.news.is_empty() {
-                let news = self.news.remove(0);
-                return Some(Step::List(self.apply_list(news)));
+            self.pending_updates.extend(self.discovery.corrected_starts(&self.turn.clock));
+            if !self.pending_updates.is_empty() {
+                let update = self.pending_updates.remove(0);
+                return Some(Step::List(self.apply_list(update)));
             }
             if let Some(order) = self.exchange.backend_commands.pop_front() {
                 return Some(Step::Order(order));
@@ -145,13 +146,13 @@
                 return Some(Step::Answer(request, answer));
             }
             let ask = self.exchange.discovery_calls.pop_front()?;
-            self.discovery.ask(&mut self.turn, ask, &mut self.news);
+            self.discovery.ask(&mut self.turn, ask, &mut self.pending_updates);
         }
     }
 
     /// Passes a list to the decision module.
-    fn apply_list(&mut self, news: ListUpdate) -> List {
-        let ListUpdate { kind, entries, listed, unreadable, why } = news;
+    fn apply_list(&mut self, update: ListUpdate) -> List {
+        let ListUpdate { kind, entries, listed, unreadable, why } = update;
         for what in &why {
             warn!(self.turn.log, "unreadable entry in the list of db hosts"; "what" => what, "of" => unreadable);
         }
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -138,7 +138,7 @@
         self.reader.name(member)
     }
 
-    /// Opens a watch or fetches the list; a failure is reported in `news`.
+    /// Opens a watch or fetches the list; a failure is reported in `updates`.
     pub fn ask(&mut self, turn: &mut Turn, ask: DiscoveryCall, updates: &mut Vec<ListUpdate>) {
         // One watch at a time: a second would only repeat the first.
         if ask == DiscoveryCall::Watch
--- a/crates/gradeshunt/src/proxy/operators.rs
+++ b/crates/gradeshunt/src/proxy/operators.rs
@@ -34,11 +34,11 @@
             }
             control::Command::Status => Response::new(503, "starting\n"),
             control::Command::Metrics => {
-                let mut figures = exchange.figures();
-                figures.closes = self.frontend.close_counts.clone();
-                let figures = control::exposition(&figures, &self.classes, &self.tenants);
+                let mut metrics = exchange.figures();
+                metrics.closes = self.frontend.close_counts.clone();
+                let text = control::exposition(&metrics, &self.classes, &self.tenants);
                 let placement = exchange.placing.as_ref().map(Placing::metrics).unwrap_or_default();
-                Response::new(200, figures + &placement)
+                Response::new(200, text + &placement)
             }
             control::Command::Shapes => match self.frontend.exposition() {
                 Some(text) => Response::new(200, text),
