--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -61,7 +61,7 @@
 
     /// Moves time to the next deadline and handles it; returns its time and kind.
     fn next(&mut self) -> (Micros, DeadlineKind) {
-        let at = self.turn.deadlines.next().expect("a deadline");
+        let at = self.turn.deadlines.earliest().expect("a deadline");
         self.turn.now = at;
         let due = self.turn.deadlines.pop_expired(at).expect("it is due");
         match due {
@@ -206,7 +206,7 @@
         self.held_open.push(call);
         self.report_failures();
         while self.latest_call() <= failed {
-            let at = self.fixture.turn.deadlines.next().expect("a deadline");
+            let at = self.fixture.turn.deadlines.earliest().expect("a deadline");
             match self.fixture.turn.deadlines.pop_expired(at).expect("it is due") {
                 DeadlineKind::Module(tag) => {
                     self.fixture.turn.now = at;
--- a/crates/gradeshunt/src/pg.rs
+++ b/crates/gradeshunt/src/pg.rs
@@ -147,8 +147,8 @@
     Ok(Some((*tag, size)))
 }
 
-/// Returns the size of a DataRow of one column that is larger than [`MAX_BUFFERED_ROW`]. Returns `None` while its
-/// header is incomplete, and for any other message.
+/// Returns the size of a DataRow of one column that is larger than [`MAX_BUFFERED_ROW`]. Returns `None` while
+/// its header is incomplete, and for any other message.
 pub fn long_row_size(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     let (Some(b'D'), Some(length), Some(value)) = (bytes.first(), be32(bytes, 1), be32(bytes, 7)) else {
         return Ok(None);
@@ -348,7 +348,7 @@
         at += pair.len() + 1;
         let (name, value) =
             pair.trim().split_once('=').ok_or("the routing comment has a name without a value")?;
-        let bad = |_| format!("the routing comment's {name} is not a number");
+        let not_a_number = |_| format!("the routing comment's {name} is not a number");
         match name {
             "id" => id = Some(value).filter(|v| (1..=MAX_ID_LENGTH).contains(&v.len())),
             "k" => has_key = !value.is_empty(),
@@ -356,20 +356,20 @@
             "t" => tenant = Some(value),
             "d" => {
                 let at = from + 2;
-                wait = Some((value.parse().map_err(bad)?, at..at + value.len()));
+                wait = Some((value.parse().map_err(not_a_number)?, at..at + value.len()));
             }
             "r" => repeat = value == "1",
-            "cluster" => cluster = Some(value.parse().map_err(bad)?),
-            "after" => after = Some(value.parse().map_err(bad)?),
+            "cluster" => cluster = Some(value.parse().map_err(not_a_number)?),
+            "after" => after = Some(value.parse().map_err(not_a_number)?),
             // Unknown names, which later versions may add, are passed on unchanged.
             _ => {}
         }
     }
-    let (wait_ms, wait_at) = wait.ok_or("the routing comment has no d")?;
+    let (wait_ms, wait_span) = wait.ok_or("the routing comment has no d")?;
     let id = id.ok_or("the routing comment has no usable id")?;
     let class = class.ok_or("the routing comment has no c")?;
     let cluster = cluster.ok_or("the routing comment has no cluster")?;
-    Ok(RoutingComment { id, has_key, class, tenant, wait_ms, wait_span: wait_at, repeat, cluster, after })
+    Ok(RoutingComment { id, has_key, class, tenant, wait_ms, wait_span, repeat, cluster, after })
 }
 
 /// Returns the first quoted literal after the comment; it identifies the session.
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -197,7 +197,7 @@
     /// Carries orders, answers and file work between the parts until none is left.
     fn run_until_idle(&mut self) {
         loop {
-            if let Some(step) = self.core.step() {
+            if let Some(step) = self.core.next_step() {
                 self.carry_out_step(step);
             } else if let Some(task) = self.shared.next_task(self.core.turn.now) {
                 if !self.worker.submit(task) {
@@ -249,7 +249,7 @@
     pub fn is_done(&self) -> bool {
         let process = ProcessState {
             must_exit: self.must_leave,
-            serving: self.frontend.may_accept_clients(),
+            serving: self.frontend.may_accept(),
             clients_open: self.frontend.has_clients(),
             requests_open: !self.core.exchange.is_idle(),
         };
@@ -263,7 +263,7 @@
     }
 
     fn on_event(&mut self, source: EventSource) {
-        self.core.event(source);
+        self.core.process_event(source);
         let (turn, exchange) = (&mut self.core.turn, &mut self.core.exchange);
         match source {
             EventSource::Listener => self.frontend.accept(turn),
@@ -281,7 +281,7 @@
     }
 
     fn on_deadline(&mut self, due: DeadlineKind) {
-        self.core.due(due);
+        self.core.process_deadline(due);
         let (turn, exchange) = (&mut self.core.turn, &mut self.core.exchange);
         match due {
             DeadlineKind::Module(_)
--- a/crates/gradeshunt/src/proxy/lifetime.rs
+++ b/crates/gradeshunt/src/proxy/lifetime.rs
@@ -74,7 +74,7 @@
     pub(super) fn serve(&mut self) {
         let Some(listener) = self.unserved_listener.take() else { return };
         let listen = listener.local_addr().map(|a| a.to_string()).ok();
-        let opened = self.frontend.open(&mut self.core.turn, listener);
+        let opened = self.frontend.listen_for_clients(&mut self.core.turn, listener);
         self.serve_peers();
         self.shared.change_state(ProcessState::Serving);
         if let Err(e) = opened {
