--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -115,8 +115,8 @@
 
     /// Reads the list in the configuration, which may be outdated.
     pub fn read_known(&mut self, clock: &Clock, known: &Value) -> Result<ListUpdate, String> {
-        let updates = self.reader.read_list(clock, &known.to_string(), 0)?;
-        Ok(ListUpdate { kind: ListKind::Saved, ..updates })
+        let update = self.reader.read_list(clock, &known.to_string(), 0)?;
+        Ok(ListUpdate { kind: ListKind::Saved, ..update })
     }
 
     /// Returns db hosts whose start times were read wrongly before primaries had shown the clock offset.
@@ -138,7 +138,7 @@
         self.reader.name(member)
     }
 
-    /// Opens a watch or fetches the list; a failure is reported in `news`.
+    /// Opens a watch or fetches the list; a failure is reported in `updates`.
     pub fn ask(&mut self, turn: &mut Turn, ask: Ask, updates: &mut Vec<ListUpdate>) {
         // One watch at a time: a second would only repeat the first.
         if ask == Ask::Watch && self.calls.values().any(|c| c.ask == Ask::Watch && !c.is_former) {
--- a/crates/gradeshunt/src/shared/mod.rs
+++ b/crates/gradeshunt/src/shared/mod.rs
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Holds a db host out or readmits it for an operator; [`Change::Kept`] follows. Returns false if too
+    /// Holds a db host out or readmits it for an operator; [`Change::HoldOutStored`] follows. Returns false if too
     /// much is under way.
     #[must_use]
     pub fn hold_out(&mut self, caller: CallerId, id: &str, out: bool) -> bool {
@@ -327,15 +327,15 @@
         let hold_outs =
             hold_outs.map(|id| Change::HoldOut { id: id.clone(), out: view.held_out.contains(id) });
         let mut changes: Vec<_> = hold_outs.collect();
-        let (is_new, first) =
+        let (changed, first) =
             (view.other_process != self.view.other_process, !std::mem::replace(&mut self.is_scanned, true));
         (self.view, self.view_scan) = (view, self.scans);
         if first {
             changes.push(Change::FirstScan);
         }
         // After SIGTERM each scan may be the first that shows a successor, even if nothing else changed.
-        if is_new || first || self.first_leaving_scan.is_some() {
-            changes.push(Change::OtherProcess { is_new });
+        if changed || first || self.first_leaving_scan.is_some() {
+            changes.push(Change::OtherProcess { is_new: changed });
         }
         changes
     }
