--- a/crates/gradeshunt/src/clock.rs
+++ b/crates/gradeshunt/src/clock.rs
@@ -79,8 +79,8 @@
 
     /// Takes over a primary's report, at `at`, that its position is this Unix time.
     pub fn take_primary_time(&mut self, at: Micros, unix: Micros) {
-        let shown = self.start_offset.take_primary_time(self.offset(), at, unix);
-        if let Some(offset) = shown {
+        let new_offset = self.start_offset.take_primary_time(self.offset(), at, unix);
+        if let Some(offset) = new_offset {
             self.own_error += self.offset() - offset;
             self.segments = vec![Segment { from: Micros::MIN, offset }];
             self.candidate = None;
--- a/crates/gradeshunt/src/discovery/list/tests.rs
+++ b/crates/gradeshunt/src/discovery/list/tests.rs
@@ -93,8 +93,8 @@
     reader.read_list(&clock, &list(43, "draining"), 41).expect("a list");
     let late = reader.read_list(&clock, &list(42, "ready"), 41).expect("a list");
     assert!(late.kind == ListKind::Incremental && late.entries.is_empty() && reader.generation() == 43);
-    let anew = reader.read_list(&clock, &list(7, "ready"), 41).expect("a list");
-    assert_eq!((anew.entries.len(), anew.entries[0].phase, reader.generation()), (1, Phase::Up, 7));
+    let restarted = reader.read_list(&clock, &list(7, "ready"), 41).expect("a list");
+    assert_eq!((restarted.entries.len(), restarted.entries[0].phase, reader.generation()), (1, Phase::Up, 7));
 }
 
 /// Guards slow start across a step of the wall clocks: a start time that is reported again is not another
@@ -137,8 +137,8 @@
         r#"{{"generation":1,"reset":true,"instances":[{{"instanceId":"s","hostPort":"127.0.0.1:1","zone":"a","cell":1,
             "lifecycle":"ready","startedAtMs":{started_ms}}}]}}"#
     );
-    let told = reader.read_list(&clock, &list, 0).expect("a list").entries[0].since.expect("a start");
-    assert!(told <= clock.now() - 29_000_000, "it counts as warm");
+    let since = reader.read_list(&clock, &list, 0).expect("a list").entries[0].since.expect("a start");
+    assert!(since <= clock.now() - 29_000_000, "it counts as warm");
     assert!(reader.corrected_starts(&clock).is_none(), "no primary has shown the time");
     let offset = clock.offset();
     // Four answers of primaries, 10 ms apart, show that all other machines' clocks are 30 s behind.
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -202,8 +202,8 @@
 
     pub fn call_due(&mut self, turn: &mut Turn, id: CallId, updates: &mut Vec<ListUpdate>) {
         let Some(call) = self.calls.get(&id).filter(|c| c.due <= turn.now) else { return };
-        // Discovery may be available even if this watch never delivered anything. Another watch is opened
-        // before the time runs out after which its news counts as known.
+        // Discovery may be available even if this watch never delivered anything. Another watch is opened in
+        // time, before the proxy counts as informed of what this one misses.
         if call.ask == Ask::Watch && !call.is_former && self.policy.pushed.is_none() {
             warn!(turn.log, "watch has fallen silent, opening another");
             self.end(turn, id);
--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -152,7 +152,7 @@
 /// A proxy's discovery client, with the decision library that says when a failed call is repeated.
 struct RetryFixture {
     fixture: Fixture,
-    decisions: Balancer,
+    balancer: Balancer,
     /// Connections that discovery holds open without sending anything.
     held_open: Vec<TcpStream>,
 }
@@ -163,16 +163,16 @@
         let config: Value = serde_json::from_str(&config).expect("JSON");
         let facts = leadmast::settings::read(&config["settings"]).expect("settings");
         assert!(facts.settings.list_on_request);
-        let decisions = Balancer::new(facts.settings, seed, 0);
-        let mut retry = RetryFixture { fixture: Fixture::open(turn, None), decisions, held_open: Vec::new() };
-        retry.decide(Event::Timer { tag: TimerTag(0) });
+        let balancer = Balancer::new(facts.settings, seed, 0);
+        let mut retry = RetryFixture { fixture: Fixture::open(turn, None), balancer, held_open: Vec::new() };
+        retry.handle_event(Event::Timer { tag: TimerTag(0) });
         retry
     }
 
-    fn decide(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let Fixture { turn, discovery, updates, .. } = &mut self.fixture;
         let mut actions = Vec::new();
-        self.decisions.handle(turn.now, event, &mut actions);
+        self.balancer.handle(turn.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Timer { tag, at } => turn.deadlines.set(at, Due::Module(tag)),
@@ -184,9 +184,9 @@
 
     /// Reports each failure to the decision library.
     fn report_failures(&mut self) {
-        for updates in std::mem::take(&mut self.fixture.updates) {
-            assert_eq!(updates.kind, ListKind::Failed);
-            self.decide(Event::Members { kind: updates.kind, entries: Vec::new() });
+        for update in std::mem::take(&mut self.fixture.updates) {
+            assert_eq!(update.kind, ListKind::Failed);
+            self.handle_event(Event::Members { kind: update.kind, entries: Vec::new() });
         }
     }
 
@@ -210,7 +210,7 @@
             match self.fixture.turn.deadlines.pop(at).expect("it is due") {
                 Due::Module(tag) => {
                     self.fixture.turn.now = at;
-                    self.decide(Event::Timer { tag });
+                    self.handle_event(Event::Timer { tag });
                 }
                 due => {
                     self.fixture.turn.deadlines.set(at, due);
--- a/crates/gradeshunt/src/proxy/sites.rs
+++ b/crates/gradeshunt/src/proxy/sites.rs
@@ -89,7 +89,7 @@
         if !sites.hold(self.core.turn.now, name, out) {
             return Answer::new(404, "no such site\n");
         }
-        info!(self.core.turn.log, "site held out or let back by an operator"; "out" => out, "name" => name);
+        info!(self.core.turn.log, "site held out or readmitted by an operator"; "out" => out, "name" => name);
         self.apply_site_actions();
         Answer::new(200, if out { "held out\n" } else { "let back\n" })
     }
--- a/crates/gradeshunt/src/start_offset.rs
+++ b/crates/gradeshunt/src/start_offset.rs
@@ -45,11 +45,11 @@
     /// Takes over a primary's report, at `at`, that its position is this Unix time. Returns the offset to use
     /// from now on if it differs from `offset`.
     pub fn take_primary_time(&mut self, offset: Micros, at: Micros, unix: Micros) -> Option<Micros> {
-        let shown = unix - at;
-        let age = offset - shown;
+        let reported = unix - at;
+        let age = offset - reported;
         if self.is_confirmed {
             let settles = self.settles_until.is_some_and(|until| at < until) && age >= -MAX_AGE;
-            return (settles && age < 0).then_some(shown);
+            return (settles && age < 0).then_some(reported);
         }
         if (-STEP_TOLERANCE..=MAX_AGE).contains(&age) {
             self.is_confirmed = true;
@@ -58,16 +58,16 @@
         self.is_contradicted = true;
         if age < 0 {
             self.older_reports.clear();
-            return Some(shown);
+            return Some(reported);
         }
-        self.lower_if_agreed(at, shown)
+        self.lower_if_agreed(at, reported)
     }
 
     /// Lowers the offset once several reports agree, to the largest of them, because an answer may have been
     /// slow.
-    fn lower_if_agreed(&mut self, at: Micros, shown: Micros) -> Option<Micros> {
-        self.older_reports.retain(|(_, other)| (shown - other).abs() <= AGREEMENT);
-        self.older_reports.push((at, shown));
+    fn lower_if_agreed(&mut self, at: Micros, reported: Micros) -> Option<Micros> {
+        self.older_reports.retain(|(_, other)| (reported - other).abs() <= AGREEMENT);
+        self.older_reports.push((at, reported));
         let (first, _) = *self.older_reports.first()?;
         if self.older_reports.len() < MIN_AGREEING || at - first < AGREEMENT_SPAN {
             return None;
