--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -13,7 +13,7 @@
 use crate::discovery::{self, Discovery, ListUpdate};
 use crate::exchange::{Answer, Exchange, Order};
 use crate::loop_stats::LoopStats;
-use crate::placing::Placing;
+use crate::placing::PlacementRouter;
 use crate::turn::{Ready, Source, Turn};
 
 /// The control part of a proxy.
@@ -79,7 +79,8 @@
         let known = if known.is_null() { None } else { Some(discovery.read_known(&turn.clock, &known)?) };
         let tenants = config.tenants();
         let connect_timeout = facts.connections.connect_timeout;
-        let placing = config.placement.take().map(|placement| Placing::new(placement, connect_timeout));
+        let placing =
+            config.placement.take().map(|placement| PlacementRouter::new(placement, connect_timeout));
         let mut settings = facts.settings.clone();
         let placing = placing.map(|placing| placing.divide_budgets(&mut settings));
         let mut exchange = Exchange::new(settings, tenants, config.seed, turn.now);
--- a/crates/gradeshunt/src/discovery/answer.rs
+++ b/crates/gradeshunt/src/discovery/answer.rs
@@ -22,7 +22,7 @@
 }
 
 /// The response to a call, as far as it was received.
-pub struct Answer {
+pub struct AnswerParser {
     is_watch: bool,
     expected: Expected,
     /// The part of the body that is not consumed yet: an incomplete line of a watch, or a whole list.
@@ -83,10 +83,10 @@
     pub lists: Vec<Vec<u8>>,
 }
 
-impl Answer {
+impl AnswerParser {
     /// Creates the parser for the response to a watch, or to a fetch of the whole list.
     pub fn new(is_watch: bool) -> Self {
-        Answer {
+        AnswerParser {
             is_watch,
             expected: Expected::Head,
             body: Vec::new(),
--- a/crates/gradeshunt/src/discovery/answer/tests.rs
+++ b/crates/gradeshunt/src/discovery/answer/tests.rs
@@ -4,7 +4,7 @@
 
 /// Feeds these pieces. Returns the piece at which the answer was given up, if it was, and for how many pieces
 /// something became complete.
-fn feed(answer: &mut Answer, pieces: impl IntoIterator<Item = Vec<u8>>) -> (Option<usize>, usize) {
+fn feed(answer: &mut AnswerParser, pieces: impl IntoIterator<Item = Vec<u8>>) -> (Option<usize>, usize) {
     let (mut ring, mut whole) = (Ring::default(), 0);
     for (n, piece) in pieces.into_iter().enumerate() {
         // Like a read from a socket: no more than fits.
@@ -27,7 +27,7 @@
 /// meanwhile.
 #[test]
 fn endless_line_does_not_keep_a_watch_alive_and_is_bounded() {
-    let mut answer = Answer::new(true);
+    let mut answer = AnswerParser::new(true);
     assert_eq!(feed(&mut answer, [HEAD.to_vec()]), (None, 1));
     assert_eq!(
         feed(&mut answer, [chunk(b"{\"generation\":1}\n"), chunk(b"\n")]),
@@ -43,7 +43,7 @@
 #[test]
 fn endless_heads_and_bodies_are_bounded() {
     let endless = |first: &[u8], piece: &[u8]| {
-        let mut answer = Answer::new(false);
+        let mut answer = AnswerParser::new(false);
         let rest = vec![piece.to_vec(); 3 * 1024 * 1024 / piece.len()];
         feed(&mut answer, [first.to_vec()].into_iter().chain(rest)).0.is_some()
     };
@@ -59,7 +59,7 @@
 #[test]
 fn indented_list_is_accepted_and_a_truncated_one_rejected() {
     let lists = |pieces: &[&[u8]]| {
-        let (mut answer, mut ring, mut lists) = (Answer::new(true), Ring::default(), Vec::new());
+        let (mut answer, mut ring, mut lists) = (AnswerParser::new(true), Ring::default(), Vec::new());
         for piece in [HEAD.to_vec()].into_iter().chain(pieces.iter().map(|p| chunk(p))) {
             assert!(ring.push(&piece));
             match answer.take(&mut ring) {
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -40,20 +40,20 @@
 
 /// When a db host started, in Unix time and on the proxy's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Start {
+struct StartTime {
     unix_ms: f64,
     at: Micros,
 }
 
 /// Reads lists in discovery's format, and numbers db hosts in the order in which they appear.
-pub struct Reader {
+pub struct ListReader {
     names: Names,
     /// The db hosts that are listed now. One that is removed loses its number, and gets a new one if it
     /// returns.
     numbers: HashMap<String, MemberId>,
     /// Their latest start times, as reported and on the proxy's clock. The wall clock may have been stepped
     /// since: a start time that is reported again unchanged is not another start.
-    starts: HashMap<MemberId, Start>,
+    starts: HashMap<MemberId, StartTime>,
     /// Db hosts listed with a start time before primaries had shown the clock offset: it may have been read
     /// wrongly.
     unconfirmed: BTreeMap<MemberId, Entry>,
@@ -61,9 +61,9 @@
     generation: u64,
 }
 
-impl Reader {
+impl ListReader {
     pub fn new(names: Names) -> Self {
-        Reader {
+        ListReader {
             names,
             numbers: HashMap::new(),
             starts: HashMap::new(),
@@ -178,7 +178,7 @@
     fn start_time(&mut self, clock: &Clock, member: MemberId, unix_ms: f64) -> Micros {
         let known = self.starts.get(&member).filter(|start| start.unix_ms == unix_ms);
         let at = known.map_or_else(|| clock.latest_at_unix_ms(unix_ms), |start| start.at);
-        self.starts.insert(member, Start { unix_ms, at });
+        self.starts.insert(member, StartTime { unix_ms, at });
         at
     }
 
--- a/crates/gradeshunt/src/discovery/list/tests.rs
+++ b/crates/gradeshunt/src/discovery/list/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn forgets_names_that_are_gone() {
     let names = Names { zones: vec!["a".into()], ..Names::default() };
-    let mut reader = Reader::new(names);
+    let mut reader = ListReader::new(names);
     let mut read = |id: &str, lifecycle: &str, reset: bool| {
         let list = serde_json::json!({"generation": 1, "reset": reset, "instances": [{"instanceId": id,
             "hostPort": "127.0.0.1:1", "zone": "a", "cell": 1, "lifecycle": lifecycle}]});
@@ -24,8 +24,8 @@
     assert_eq!(read("s-1", "ready", true), (MemberId(101), 1));
 }
 
-fn reader() -> Reader {
-    Reader::new(Names { zones: vec!["a".into()], ..Names::default() })
+fn reader() -> ListReader {
+    ListReader::new(Names { zones: vec!["a".into()], ..Names::default() })
 }
 
 /// Guards the event loop against long lists: work that grows with the square of their length blocks the loop
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -12,9 +12,9 @@
 use serde_json::Value;
 use slog::{info, warn};
 
-use self::answer::Answer;
+use self::answer::AnswerParser;
+use self::list::ListReader;
 pub use self::list::ListUpdate;
-use self::list::Reader;
 use crate::clock::Clock;
 use crate::deadlines::Due;
 use crate::exchange::Ask;
@@ -55,7 +55,7 @@
     polled: Polled,
     inbound: Ring,
     outbound: Ring,
-    answer: Answer,
+    answer: AnswerParser,
     /// The version of the list after which this call asked for changes.
     since_version: u64,
     /// Time by which something must be complete: the head, a line, the list. Bytes alone don't extend it: a
@@ -70,7 +70,7 @@
     policy: WatchPolicy,
     /// When a watch is to be reopened, if one is.
     reopen_at: Option<Micros>,
-    reader: Reader,
+    reader: ListReader,
     /// Whether discovery has delivered a list.
     has_list: bool,
     calls: BTreeMap<CallId, Call>,
@@ -79,7 +79,7 @@
 
 impl Discovery {
     pub fn new(addr: SocketAddr, silence: Micros, names: Names, policy: WatchPolicy) -> Self {
-        let reader = Reader::new(names);
+        let reader = ListReader::new(names);
         Discovery {
             addr,
             silence,
@@ -193,7 +193,7 @@
         let due = turn.now + self.silence;
         turn.deadlines.set(due, Due::Call(id));
         let inbound = Ring::default();
-        let answer = Answer::new(ask == Ask::Watch);
+        let answer = AnswerParser::new(ask == Ask::Watch);
         let since_version = self.reader.generation();
         let call = Call { ask, is_former: false, polled, inbound, outbound, answer, since_version, due };
         self.calls.insert(id, call);
--- a/crates/gradeshunt/src/discovery/tests.rs
+++ b/crates/gradeshunt/src/discovery/tests.rs
@@ -13,7 +13,7 @@
 const SILENCE: Micros = 3_000_000;
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-struct Fixture {
+struct WatchFixture {
     turn: Turn,
     discovery: Discovery,
     agent: TcpListener,
@@ -21,16 +21,16 @@
     _poll: EventLoop<'static, Ready>,
 }
 
-impl Fixture {
+impl WatchFixture {
     /// A proxy with the place `at` in the order of its fleet, with a watch opened at time 0.
-    fn open(at: f64, pushed: Option<Micros>) -> Fixture {
+    fn open(at: f64, pushed: Option<Micros>) -> WatchFixture {
         let poll = EventLoop::<Ready>::try_new().expect("a poll");
         let turn = Turn::new(poll.handle(), Logger::root(Discard, o!()));
         let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = agent.local_addr().expect("an address");
         let discovery =
             Discovery::new(addr, SILENCE, Names::default(), WatchPolicy { pushed, fleet_position: at });
-        let mut fixture = Fixture { turn, discovery, agent, updates: Vec::new(), _poll: poll };
+        let mut fixture = WatchFixture { turn, discovery, agent, updates: Vec::new(), _poll: poll };
         fixture.turn.now = 0;
         fixture.discovery.ask(&mut fixture.turn, Ask::Watch, &mut fixture.updates);
         fixture
@@ -80,7 +80,7 @@
 fn silent_watches_are_reopened_spread_over_the_fleet() {
     let mut reopened = Vec::new();
     for at in [0.1, 0.5, 0.9] {
-        let mut fixture = Fixture::open(at, None);
+        let mut fixture = WatchFixture::open(at, None);
         let _silent = fixture.answer(HEAD);
         assert_eq!(fixture.next().0, SILENCE);
         assert!(fixture.updates.is_empty(), "no failure is reported, and nothing waits for one");
@@ -98,7 +98,7 @@
 /// opened at the proxy's place in the order, never at once.
 #[test]
 fn watch_without_an_answer_is_not_reopened_at_once() {
-    let mut fixture = Fixture::open(0.5, None);
+    let mut fixture = WatchFixture::open(0.5, None);
     let mut opened = 0;
     for _ in 0..3 {
         assert_eq!(fixture.next().0, opened + SILENCE);
@@ -115,7 +115,7 @@
 /// period.
 #[test]
 fn pushed_list_is_watched_again_soon_after_any_end() {
-    let mut fixture = Fixture::open(0.5, Some(60_000));
+    let mut fixture = WatchFixture::open(0.5, Some(60_000));
     let call = fixture.answer(HEAD);
     assert_eq!((fixture.next().0, fixture.next()), (SILENCE, (SILENCE + 60_000, Due::Reopen)));
     drop(call);
@@ -151,7 +151,7 @@
 
 /// A proxy's discovery client, with the decision library that says when a failed call is repeated.
 struct RetryFixture {
-    fixture: Fixture,
+    fixture: WatchFixture,
     balancer: Balancer,
     /// Connections that discovery holds open without sending anything.
     held_open: Vec<TcpStream>,
@@ -164,13 +164,14 @@
         let facts = leadmast::settings::read(&config["settings"]).expect("settings");
         assert!(facts.settings.list_on_request);
         let balancer = Balancer::new(facts.settings, seed, 0);
-        let mut retry = RetryFixture { fixture: Fixture::open(turn, None), balancer, held_open: Vec::new() };
+        let mut retry =
+            RetryFixture { fixture: WatchFixture::open(turn, None), balancer, held_open: Vec::new() };
         retry.handle_event(Event::Timer { tag: TimerTag(0) });
         retry
     }
 
     fn handle_event(&mut self, event: Event) {
-        let Fixture { turn, discovery, updates, .. } = &mut self.fixture;
+        let WatchFixture { turn, discovery, updates, .. } = &mut self.fixture;
         let mut actions = Vec::new();
         self.balancer.handle(turn.now, event, &mut actions);
         for action in actions {
@@ -278,7 +279,7 @@
             retry.held_open.push(retry.fixture.answer(HEAD));
             let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
             let addr = agent.local_addr().expect("an address");
-            let Fixture { turn, discovery, updates, .. } = &mut retry.fixture;
+            let WatchFixture { turn, discovery, updates, .. } = &mut retry.fixture;
             discovery.move_to(turn, addr, SILENCE, updates);
             retry.fixture.agent = agent;
             retry.fail_call(Fault::NeverAnswers);
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -10,7 +10,7 @@
 use super::request::Request;
 use super::tally::Tally;
 use crate::figures::{Metrics, OutcomeCounts, TenantCount};
-use crate::placing::Placing;
+use crate::placing::PlacementRouter;
 use crate::site_loss;
 
 /// The exchange.
@@ -32,7 +32,7 @@
     /// `crate::proxy::sites`.
     pub sites: Option<Sites>,
     /// Which requests go to other proxies, where operators have a file on that.
-    pub placing: Option<Placing>,
+    pub placing: Option<PlacementRouter>,
     /// Time that an answer takes from one proxy to another, at most.
     pub(super) hop: Micros,
     /// By class.
--- a/crates/gradeshunt/src/loop_stats.rs
+++ b/crates/gradeshunt/src/loop_stats.rs
@@ -20,13 +20,13 @@
 /// The longest of some times in the current summary interval and in the one before, so that no scrape misses
 /// one.
 #[derive(Clone, Copy, Debug, Default)]
-struct Longest {
+struct LongestTimes {
     current: Micros,
     previous: Micros,
     since_start: Micros,
 }
 
-impl Longest {
+impl LongestTimes {
     fn add(&mut self, took: Micros) {
         self.current = self.current.max(took);
         self.since_start = self.since_start.max(took);
@@ -64,9 +64,9 @@
     spent: BTreeMap<&'static str, (Micros, u32)>,
     turns: u64,
     slow_turns: u64,
-    longest_turn: Longest,
-    latest_wake: Longest,
-    by_source: BTreeMap<&'static str, Longest>,
+    longest_turn: LongestTimes,
+    latest_wake: LongestTimes,
+    by_source: BTreeMap<&'static str, LongestTimes>,
 }
 
 impl LoopStats {
@@ -82,8 +82,8 @@
             spent: BTreeMap::new(),
             turns: 0,
             slow_turns: 0,
-            longest_turn: Longest::default(),
-            latest_wake: Longest::default(),
+            longest_turn: LongestTimes::default(),
+            latest_wake: LongestTimes::default(),
             by_source: BTreeMap::new(),
         }
     }
@@ -152,7 +152,7 @@
             "most_by" => worst.map(|(name, _)| *name), "most_by_us" => worst.map(|(_, l)| l.current));
         self.longest_turn.start_interval();
         self.latest_wake.start_interval();
-        self.by_source.values_mut().for_each(Longest::start_interval);
+        self.by_source.values_mut().for_each(LongestTimes::start_interval);
     }
 
     /// Returns the statistics as text: times in microseconds, the longest of the last 10 to 20 s and since
@@ -162,7 +162,7 @@
             "# TYPE app_loop_turns counter\napp_loop_turns {}\n# TYPE app_loop_slow_turns counter\napp_loop_slow_turns {}\n",
             self.turns, self.slow_turns
         );
-        let mut gauge = |name: &str, label: &str, l: &Longest| {
+        let mut gauge = |name: &str, label: &str, l: &LongestTimes| {
             let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"late\"}} {}", l.recent());
             let _ = writeln!(text, "app_loop_{name}_us{{{label}span=\"ever\"}} {}", l.since_start);
         };
--- a/crates/gradeshunt/src/loop_stats/tests.rs
+++ b/crates/gradeshunt/src/loop_stats/tests.rs
@@ -36,7 +36,7 @@
 /// Guards a scrape just after a summary: the interval before it is still shown, the one before that is not.
 #[test]
 fn longest_covers_the_current_and_the_last_interval() {
-    let mut longest = Longest::default();
+    let mut longest = LongestTimes::default();
     longest.add(7);
     longest.start_interval();
     longest.add(3);
--- a/crates/gradeshunt/src/placing.rs
+++ b/crates/gradeshunt/src/placing.rs
@@ -56,7 +56,7 @@
 
 /// How requests were placed since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct PlacementCounts {
     /// Requests of clients served here as a home of their set.
     pub home: u64,
     /// Requests of clients forwarded to another proxy, counting each attempt.
@@ -70,7 +70,7 @@
 }
 
 /// This proxy's part in the placement, and what it knows of the other proxies.
-pub struct Placing {
+pub struct PlacementRouter {
     placement: Placement,
     direct: DirectSets,
     /// Numbers of all proxies ever named, so that no number is reused for another proxy.
@@ -80,21 +80,21 @@
     /// Divisor of this process's budgets, if they are divided by homes.
     divisor_in_force: Option<u64>,
     /// How requests were placed.
-    pub counts: Counts,
+    pub counts: PlacementCounts,
 }
 
-impl Placing {
+impl PlacementRouter {
     /// Applies a placement; an unavailable proxy is tried again after `connect_timeout` at the earliest.
-    pub fn new(placement: Placement, connect_timeout: Micros) -> Placing {
+    pub fn new(placement: Placement, connect_timeout: Micros) -> PlacementRouter {
         let direct = DirectSets::new(placement.settings().direct_sets);
-        let mut placing = Placing {
+        let mut placing = PlacementRouter {
             placement,
             direct,
             numbers: BTreeMap::new(),
             health: BTreeMap::new(),
             connect_timeout,
             divisor_in_force: None,
-            counts: Counts::default(),
+            counts: PlacementCounts::default(),
         };
         placing.assign_numbers();
         placing
@@ -221,7 +221,7 @@
     /// Divides the budgets that are bounded over the fleet by the homes of a set instead of by all proxies.
     /// The largest divisor of all sets is used, so that no sum exceeds its bound. A tenant's share is still
     /// divided by all proxies.
-    pub fn divide_budgets(mut self, settings: &mut Settings) -> Placing {
+    pub fn divide_budgets(mut self, settings: &mut Settings) -> PlacementRouter {
         self.divisor_in_force = Some(self.divisor());
         let divisor = u32::try_from(self.divisor()).unwrap_or(u32::MAX);
         let ratio = f64::from(divisor) / f64::from(settings.fleet);
@@ -253,7 +253,7 @@
 
     /// Returns the counts as metrics in Prometheus' text format.
     pub fn metrics(&self) -> String {
-        let Counts { home, sent_on, taken, direct, refused } = self.counts;
+        let PlacementCounts { home, sent_on, taken, direct, refused } = self.counts;
         let ways = [
             ("home", home),
             ("sent_on", sent_on),
@@ -286,7 +286,7 @@
             };
             let _ = writeln!(text, "proxy {} {state}", proxy.name);
         }
-        let Counts { home, sent_on, taken, direct, refused } = self.counts;
+        let PlacementCounts { home, sent_on, taken, direct, refused } = self.counts;
         let _ = writeln!(text, "sets_direct {}", self.direct.len());
         let _ = writeln!(
             text,
--- a/crates/gradeshunt/src/placing/tests.rs
+++ b/crates/gradeshunt/src/placing/tests.rs
@@ -3,24 +3,24 @@
 use super::*;
 
 /// This proxy and two others in one group, in which each set has two homes.
-fn placing(own: &str) -> Placing {
+fn placing(own: &str) -> PlacementRouter {
     let proxies = ["a", "b", "c"].map(|name| {
         let port = 1000 + u16::from(name.as_bytes()[0]);
         format!("proxy {{ name: \"{name}\" zone: \"z\" address: \"127.0.0.1:{port}\" }}")
     });
     let text =
         format!("placement {{ group_size {{ least: 2 most: 9 }} direct_sets: 1 {} }}", proxies.join(" "));
-    Placing::new(Placement::parse("test", &text, own).expect("a placement"), 1_000)
+    PlacementRouter::new(Placement::parse("test", &text, own).expect("a placement"), 1_000)
 }
 
 /// Sets of which this proxy is no home.
-fn foreign_sets(placing: &mut Placing) -> Vec<GroupId> {
+fn foreign_sets(placing: &mut PlacementRouter) -> Vec<GroupId> {
     let sets = (1..).map(GroupId);
     let foreign = |set: &GroupId| placing.decide(0, *set, Bucket::new(0), &[]) != Decision::Here;
     sets.filter(foreign).take(2).collect()
 }
 
-fn home(placing: &mut Placing, now: Micros, set: GroupId, tried: &[MemberId]) -> MemberId {
+fn home(placing: &mut PlacementRouter, now: Micros, set: GroupId, tried: &[MemberId]) -> MemberId {
     match placing.decide(now, set, Bucket::new(0), tried) {
         Decision::SendOn(home) => home,
         other => panic!("{other:?}"),
--- a/crates/gradeshunt/src/proxy.rs
+++ b/crates/gradeshunt/src/proxy.rs
@@ -24,7 +24,7 @@
 use crate::frontend::Frontend;
 use crate::resumed::RetryInterrupted;
 use crate::shared::worker::{Wake, Worker};
-use crate::shared::{self, Shared};
+use crate::shared::{self, SharedState};
 use crate::transient::retry_while_transient;
 use crate::turn::{self, Ready, Source};
 
@@ -45,7 +45,7 @@
     frontend: Frontend,
     backend: Backend,
     control: Option<Control>,
-    shared: Shared,
+    shared: SharedState,
     worker: Worker,
     /// Descriptors and bytes of memory that this proxy may use, shared by its processes while two of them
     /// run.
@@ -148,7 +148,7 @@
             frontend,
             backend,
             control,
-            shared: Shared::new(),
+            shared: SharedState::new(),
             worker,
             sockets,
             memory_bytes,
--- a/crates/gradeshunt/src/proxy/lifetime.rs
+++ b/crates/gradeshunt/src/proxy/lifetime.rs
@@ -30,7 +30,7 @@
 
 /// Times of the steps by which a process ends after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Shutdown {
+struct ShutdownTimes {
     /// Requests that arrive later are not read.
     last_read: Micros,
     /// Open requests get their last answer.
@@ -40,14 +40,14 @@
     end: Micros,
 }
 
-impl Shutdown {
+impl ShutdownTimes {
     /// The shutdown of a process that gets SIGTERM at `now`, with `longest` the longest deadline of its
     /// classes.
-    fn at(now: Micros, longest: Micros) -> Shutdown {
+    fn at(now: Micros, longest: Micros) -> ShutdownTimes {
         let over = now + longest.min(MAX_COUNTED_DEADLINE);
         let leave = over + LEAVE_AFTER;
         let last_answers = leave - LAST_ANSWERS_BEFORE_LEAVING;
-        Shutdown {
+        ShutdownTimes {
             last_read: last_answers - LAST_READ_BEFORE_ANSWERS,
             last_answers,
             leave,
@@ -118,7 +118,8 @@
         }
         self.shared.change_state(ProcessState::Leaving);
         let now = self.core.turn.now;
-        let Shutdown { last_read, last_answers, leave, end } = Shutdown::at(now, self.longest_deadline);
+        let ShutdownTimes { last_read, last_answers, leave, end } =
+            ShutdownTimes::at(now, self.longest_deadline);
         self.end_by = Some(end);
         self.frontend.set_drain_deadline(last_read);
         self.core.turn.deadlines.set(now + ACCEPT_AFTER_SIGTERM, Due::CloseListener);
--- a/crates/gradeshunt/src/proxy/lifetime/tests.rs
+++ b/crates/gradeshunt/src/proxy/lifetime/tests.rs
@@ -13,7 +13,7 @@
 fn process_that_is_held_up_before_its_last_answers_leaves_before_sigkill() {
     for longest in [0, 1_000_000, MAX_COUNTED_DEADLINE, 2 * MAX_COUNTED_DEADLINE] {
         let killed_at = longest.min(MAX_COUNTED_DEADLINE) + KILL_AFTER;
-        let shutdown = Shutdown::at(0, longest);
+        let shutdown = ShutdownTimes::at(0, longest);
         assert!(shutdown.last_answers + MAX_PAUSE < killed_at, "{shutdown:?}");
         assert!(shutdown.leave + MAX_PAUSE <= killed_at, "{shutdown:?}");
         assert!(shutdown.last_read < shutdown.last_answers, "{shutdown:?}");
@@ -24,7 +24,7 @@
 #[test]
 fn process_that_waits_for_its_log_ends_before_sigkill() {
     for longest in [0, 1_000_000, MAX_COUNTED_DEADLINE, 2 * MAX_COUNTED_DEADLINE] {
-        let shutdown = Shutdown::at(0, longest);
+        let shutdown = ShutdownTimes::at(0, longest);
         assert!(shutdown.leave < shutdown.end, "{shutdown:?}");
         assert!(shutdown.end < longest.min(MAX_COUNTED_DEADLINE) + KILL_AFTER, "{shutdown:?}");
     }
--- a/crates/gradeshunt/src/proxy/operators.rs
+++ b/crates/gradeshunt/src/proxy/operators.rs
@@ -5,7 +5,7 @@
 use super::Proxy;
 use crate::control::{self, Answer};
 use crate::ids::CallerId;
-use crate::placing::Placing;
+use crate::placing::PlacementRouter;
 
 impl Proxy {
     /// Reads an operator's connection and carries out its command.
@@ -37,7 +37,7 @@
                 let mut figures = exchange.figures();
                 figures.closes = self.frontend.closes.clone();
                 let figures = control::exposition(&figures, &self.classes, &self.tenants);
-                let placement = exchange.placing.as_ref().map(Placing::metrics).unwrap_or_default();
+                let placement = exchange.placing.as_ref().map(PlacementRouter::metrics).unwrap_or_default();
                 Answer::new(200, figures + &placement)
             }
             control::Command::Shapes => match self.frontend.exposition() {
--- a/crates/gradeshunt/src/proxy/placement.rs
+++ b/crates/gradeshunt/src/proxy/placement.rs
@@ -9,7 +9,7 @@
 
 use super::Proxy;
 use crate::control::Answer;
-use crate::placing::Placing;
+use crate::placing::PlacementRouter;
 use crate::turn;
 
 /// Backlog of connections from other proxies.
@@ -24,7 +24,7 @@
     /// Takes part in the configured placement, if there is one. Other proxies are refused until this one
     /// serves.
     pub(super) fn open_placement(&mut self) -> Result<(), String> {
-        let Some(address) = self.core.exchange.placing.as_ref().and_then(Placing::own_address) else {
+        let Some(address) = self.core.exchange.placing.as_ref().and_then(PlacementRouter::own_address) else {
             return Ok(());
         };
         self.peer_socket = Some(bind(address)?);
@@ -69,7 +69,7 @@
             return;
         };
         let own = placement.proxy(placement.own()).and_then(|proxy| proxy.address);
-        let former = self.core.exchange.placing.as_ref().and_then(Placing::own_address);
+        let former = self.core.exchange.placing.as_ref().and_then(PlacementRouter::own_address);
         let socket = own.filter(|_| own != former).map(bind).transpose();
         let socket = match socket {
             Ok(socket) => socket,
@@ -79,7 +79,7 @@
         };
         match &mut self.core.exchange.placing {
             Some(placing) => placing.replace(placement),
-            none => *none = Some(Placing::new(placement, self.connect_timeout)),
+            none => *none = Some(PlacementRouter::new(placement, self.connect_timeout)),
         }
         self.update_peers();
         if let Some(socket) = socket {
--- a/crates/gradeshunt/src/shared/mod.rs
+++ b/crates/gradeshunt/src/shared/mod.rs
@@ -68,7 +68,7 @@
 }
 
 /// Completed file work. A failure carries its reason.
-pub enum Done {
+pub enum CompletedTask {
     Opened(Result<(), OpenFailure>),
     Scanned(Result<View, String>),
     Published(Result<(), String>),
@@ -115,50 +115,51 @@
 
 /// Work of a kind of which at most one task is under way at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Work {
+enum WorkState {
     Idle,
     Wanted,
     Running { again: bool },
 }
 
-impl Work {
+impl WorkState {
     fn request(&mut self) {
         *self = match *self {
-            Work::Idle | Work::Wanted => Work::Wanted,
-            Work::Running { .. } => Work::Running { again: true },
+            WorkState::Idle | WorkState::Wanted => WorkState::Wanted,
+            WorkState::Running { .. } => WorkState::Running { again: true },
         };
     }
 
     fn start(&mut self) -> bool {
-        let wanted = *self == Work::Wanted;
+        let wanted = *self == WorkState::Wanted;
         if wanted {
-            *self = Work::Running { again: false };
+            *self = WorkState::Running { again: false };
         }
         wanted
     }
 
     fn finish(&mut self) {
-        *self = if *self == (Work::Running { again: true }) { Work::Wanted } else { Work::Idle };
+        *self =
+            if *self == (WorkState::Running { again: true }) { WorkState::Wanted } else { WorkState::Idle };
     }
 }
 
 /// What is known of the folder, and the file work that is under way.
-pub struct Shared {
+pub struct SharedState {
     view: View,
     /// Whether the folder has been read at least once.
     is_scanned: bool,
-    scan: Work,
+    scan: WorkState,
     scan_started: Micros,
     /// Scans started so far, the scan that `view` comes from, and the first scan that was started after
     /// SIGTERM.
     scans: u64,
     view_scan: u64,
     first_leaving_scan: Option<u64>,
-    publish: Work,
+    publish: WorkState,
     /// The last attempt to publish the state failed.
     publish_again: bool,
     state: ProcessState,
-    reread: Work,
+    reread: WorkState,
     /// When to try again to read a configuration that could not be read.
     reread_at: Option<Micros>,
     hold_outs: Vec<Task>,
@@ -166,20 +167,20 @@
     next_complaint: Micros,
 }
 
-impl Shared {
+impl SharedState {
     pub fn new() -> Self {
-        Shared {
+        SharedState {
             view: View::default(),
             is_scanned: false,
-            scan: Work::Wanted,
+            scan: WorkState::Wanted,
             scan_started: 0,
             scans: 0,
             view_scan: 0,
             first_leaving_scan: None,
-            publish: Work::Idle,
+            publish: WorkState::Idle,
             publish_again: false,
             state: ProcessState::Starting,
-            reread: Work::Idle,
+            reread: WorkState::Idle,
             reread_at: None,
             hold_outs: Vec::new(),
             hold_outs_running: 0,
@@ -222,7 +223,7 @@
             self.reread.request();
         }
         // A scan that is already under way is recent enough.
-        if !matches!(self.scan, Work::Running { .. }) {
+        if !matches!(self.scan, WorkState::Running { .. }) {
             self.scan.request();
         } else if now - self.scan_started > SLOW_SCAN {
             return self.complain(
@@ -279,29 +280,29 @@
     // ---- Completed work ----
 
     /// Takes over the result of file work.
-    pub fn complete(&mut self, now: Micros, done: Done) -> Vec<Change> {
+    pub fn complete(&mut self, now: Micros, done: CompletedTask) -> Vec<Change> {
         match done {
-            Done::Opened(Ok(())) => Vec::new(),
-            Done::Opened(Err(failure)) if failure.is_transient => {
+            CompletedTask::Opened(Ok(())) => Vec::new(),
+            CompletedTask::Opened(Err(failure)) if failure.is_transient => {
                 self.complain(now, "cannot use $TMPDIR yet", failure.why).into_iter().collect()
             }
-            Done::Opened(Err(failure)) => {
+            CompletedTask::Opened(Err(failure)) => {
                 vec![Change::Unusable(format!("cannot use $TMPDIR: {}", failure.why))]
             }
-            Done::Scanned(view) => {
+            CompletedTask::Scanned(view) => {
                 self.scan.finish();
                 match view {
                     Ok(view) => self.apply_view(view),
                     Err(why) => self.complain(now, "cannot read $TMPDIR", why).into_iter().collect(),
                 }
             }
-            Done::Published(result) => {
+            CompletedTask::Published(result) => {
                 self.publish.finish();
                 let Err(why) = result else { return Vec::new() };
                 self.publish_again = true;
                 self.complain(now, "cannot publish the state of this process", why).into_iter().collect()
             }
-            Done::HeldOut { caller, id, out, stored } => {
+            CompletedTask::HeldOut { caller, id, out, stored } => {
                 self.hold_outs_running = self.hold_outs_running.saturating_sub(1);
                 match (&stored, out) {
                     (Err(_), _) => {}
@@ -311,7 +312,7 @@
                 let hold_out = stored.is_ok().then_some(Change::HoldOut { id, out });
                 hold_out.into_iter().chain([Change::HoldOutStored { caller, out, stored }]).collect()
             }
-            Done::Reread(config) => {
+            CompletedTask::Reread(config) => {
                 self.reread.finish();
                 // A SIGHUP counts until the configuration has been read.
                 if config.as_ref().is_err_and(|e| e.is_transient) {
--- a/crates/gradeshunt/src/shared/tests.rs
+++ b/crates/gradeshunt/src/shared/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn scanned(other_process: Option<ProcessState>, held_out: &[&str]) -> Done {
+fn scanned(other_process: Option<ProcessState>, held_out: &[&str]) -> CompletedTask {
     let held_out = held_out.iter().map(|s| s.to_string()).collect();
-    Done::Scanned(Ok(View { held_out, other_process }))
+    CompletedTask::Scanned(Ok(View { held_out, other_process }))
 }
 
 fn others(changes: &[Change]) -> usize {
@@ -15,7 +15,7 @@
 /// once, and the latest state is the one that is published.
 #[test]
 fn blocked_disk_queues_each_kind_of_work_once() {
-    let mut shared = Shared::new();
+    let mut shared = SharedState::new();
     assert_eq!(shared.next_task(0), Some(Task::Scan));
     let mut complaints = 0;
     for n in 1..=100 {
@@ -28,7 +28,7 @@
     shared.change_state(ProcessState::Starting);
     shared.change_state(ProcessState::Leaving);
     assert_eq!(shared.next_task(0), None, "the first state is not written yet");
-    shared.complete(0, Done::Published(Ok(())));
+    shared.complete(0, CompletedTask::Published(Ok(())));
     assert_eq!(shared.next_task(0), Some(Task::Publish(ProcessState::Leaving)));
     assert_eq!((0..100).filter(|n| shared.hold_out(CallerId(*n), "s-1", true)).count(), MAX_HOLD_OUTS);
     assert_eq!((0..100).filter(|_| shared.next_task(0).is_some()).count(), MAX_HOLD_OUTS);
@@ -39,7 +39,7 @@
 /// seen by an earlier scan may have died since.
 #[test]
 fn only_a_scan_begun_after_sigterm_shows_a_successor() {
-    let mut shared = Shared::new();
+    let mut shared = SharedState::new();
     assert_eq!(shared.next_task(0), Some(Task::Scan));
     shared.complete(0, scanned(Some(ProcessState::Serving), &[]));
     shared.request_scan(0);
@@ -63,14 +63,15 @@
 /// and neither if it can't be.
 #[test]
 fn hold_out_is_confirmed_once_it_is_stored() {
-    let mut shared = Shared::new();
+    let mut shared = SharedState::new();
     assert!(!shared.is_alone(), "nothing has been read yet");
     let changes = shared.complete(0, scanned(None, &["s-1"]));
     assert!(matches!(&changes[0], Change::HoldOut { id, out: true } if id == "s-1"));
     assert!(matches!(&changes[1], Change::FirstScan) && shared.is_alone());
     assert!(shared.hold_out(CallerId(1), "s-2", true));
     assert!(!shared.is_held_out("s-2"), "it is not stored yet");
-    let stored = |stored| Done::HeldOut { caller: CallerId(1), id: "s-2".to_owned(), out: true, stored };
+    let stored =
+        |stored| CompletedTask::HeldOut { caller: CallerId(1), id: "s-2".to_owned(), out: true, stored };
     let changes = shared.complete(0, stored(Err("full".to_owned())));
     assert!(
         matches!(&changes[..], [Change::HoldOutStored { stored: Err(_), .. }]) && !shared.is_held_out("s-2")
@@ -89,22 +90,22 @@
 /// invalid is not.
 #[test]
 fn transient_failures_are_retried() {
-    let mut shared = Shared::new();
+    let mut shared = SharedState::new();
     assert_eq!(shared.next_task(0), Some(Task::Scan));
     shared.change_state(ProcessState::Serving);
     assert_eq!(shared.next_task(0), Some(Task::Publish(ProcessState::Serving)));
-    shared.complete(0, Done::Published(Err("no space".to_owned())));
+    shared.complete(0, CompletedTask::Published(Err("no space".to_owned())));
     assert_eq!(shared.next_task(0), None, "not before the next scan is due");
     shared.request_scan(50_000);
     assert_eq!(shared.next_task(50_000), Some(Task::Publish(ProcessState::Serving)));
-    shared.complete(50_000, Done::Published(Ok(())));
+    shared.complete(50_000, CompletedTask::Published(Ok(())));
     for (is_transient, again) in [(true, Some(Task::Reread)), (false, None)] {
         shared.reread();
         assert_eq!(shared.next_task(50_000), Some(Task::Reread));
         let error = ConfigError { is_transient, ..ConfigError::from("why".to_owned()) };
-        shared.complete(50_000, Done::Reread(Err(error)));
+        shared.complete(50_000, CompletedTask::Reread(Err(error)));
         shared.request_scan(50_000 + REREAD_PAUSE);
         assert_eq!(shared.next_task(50_000 + REREAD_PAUSE), again);
-        shared.complete(50_000, Done::Reread(Err(ConfigError::from("why".to_owned()))));
+        shared.complete(50_000, CompletedTask::Reread(Err(ConfigError::from("why".to_owned()))));
     }
 }
--- a/crates/gradeshunt/src/shared/worker.rs
+++ b/crates/gradeshunt/src/shared/worker.rs
@@ -9,11 +9,11 @@
 use calloop::ping::Ping;
 
 use super::files::Files;
-use super::{Done, OpenFailure, Task};
+use super::{CompletedTask, OpenFailure, Task};
 use crate::config::Config;
 use crate::transient::is_transient;
 
-/// Capacity of the task queue: more than [`super::Shared`] ever has under way at a time.
+/// Capacity of the task queue: more than [`super::SharedState`] ever has under way at a time.
 const QUEUE_LENGTH: usize = 32;
 /// Pause between two attempts to open the files.
 const OPEN_PAUSE: Duration = Duration::from_millis(100);
@@ -33,7 +33,7 @@
 /// The loop's end of the queues.
 pub struct Worker {
     tasks: SyncSender<Task>,
-    done: Receiver<Done>,
+    done: Receiver<CompletedTask>,
 }
 
 impl Worker {
@@ -58,14 +58,14 @@
                     Err(e) => {
                         let failure = OpenFailure { is_transient: is_transient(&e), why: e.to_string() };
                         let retries = failure.is_transient;
-                        if !send(Done::Opened(Err(failure))) || !retries {
+                        if !send(CompletedTask::Opened(Err(failure))) || !retries {
                             return;
                         }
                         thread::sleep(OPEN_PAUSE);
                     }
                 }
             };
-            let mut sent = send(Done::Opened(Ok(())));
+            let mut sent = send(CompletedTask::Opened(Ok(())));
             while let (true, Ok(task)) = (sent, queue.recv()) {
                 sent = send(carry_out(&mut *files, config.as_deref(), task));
             }
@@ -82,20 +82,20 @@
     }
 
     /// Returns the next completed task, if there is one.
-    pub fn done(&self) -> Option<Done> {
+    pub fn done(&self) -> Option<CompletedTask> {
         self.done.try_recv().ok()
     }
 }
 
-fn carry_out(files: &mut dyn Files, config: Option<&Path>, task: Task) -> Done {
+fn carry_out(files: &mut dyn Files, config: Option<&Path>, task: Task) -> CompletedTask {
     match task {
-        Task::Scan => Done::Scanned(files.scan().map_err(|e| e.to_string())),
-        Task::Publish(duty) => Done::Published(files.publish(duty).map_err(|e| e.to_string())),
+        Task::Scan => CompletedTask::Scanned(files.scan().map_err(|e| e.to_string())),
+        Task::Publish(duty) => CompletedTask::Published(files.publish(duty).map_err(|e| e.to_string())),
         Task::HoldOut { caller, id, out } => {
             let stored = files.hold_out(&id, out).map_err(|e| e.to_string());
-            Done::HeldOut { caller, id, out, stored }
+            CompletedTask::HeldOut { caller, id, out, stored }
         }
-        Task::Reread => Done::Reread(Config::load(config).map(Box::new)),
+        Task::Reread => CompletedTask::Reread(Config::load(config).map(Box::new)),
     }
 }
 
--- a/crates/gradeshunt/src/shared/worker/tests.rs
+++ b/crates/gradeshunt/src/shared/worker/tests.rs
@@ -41,11 +41,17 @@
         (0..QUEUE_LENGTH).any(|_| !worker.submit(Task::Scan)),
         "the queue is bounded, and a full one does not block"
     );
-    assert!(matches!(worker.done.recv(), Ok(Done::Opened(Ok(())))));
+    assert!(matches!(worker.done.recv(), Ok(CompletedTask::Opened(Ok(())))));
     assert!(worker.done().is_none(), "nothing is done while the disk blocks");
     (0..3).for_each(|_| releaser.send(()).expect("the worker is waiting"));
-    assert!(matches!(worker.done.recv(), Ok(Done::Scanned(Ok(_)))));
-    assert!(matches!(worker.done.recv(), Ok(Done::HeldOut { caller: CallerId(0), stored: Ok(()), .. })));
-    assert!(matches!(worker.done.recv(), Ok(Done::HeldOut { caller: CallerId(1), stored: Ok(()), .. })));
+    assert!(matches!(worker.done.recv(), Ok(CompletedTask::Scanned(Ok(_)))));
+    assert!(matches!(
+        worker.done.recv(),
+        Ok(CompletedTask::HeldOut { caller: CallerId(0), stored: Ok(()), .. })
+    ));
+    assert!(matches!(
+        worker.done.recv(),
+        Ok(CompletedTask::HeldOut { caller: CallerId(1), stored: Ok(()), .. })
+    ));
     assert!(worker.done().is_none());
 }
