--- a/crates/gradeshunt/src/clock.rs
+++ b/crates/gradeshunt/src/clock.rs
@@ -35,10 +35,10 @@
     offset: Micros,
 }
 
-/// A different offset that this machine's wall clock has shown since `seen`.
+/// A different offset that this machine's wall clock has shown since `first_seen`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    pub seen: Micros,
+    pub first_seen: Micros,
     pub offset: Micros,
 }
 
@@ -117,7 +117,7 @@
         if self.candidate.is_some_and(|known| near(known.offset, offset)) {
             return false;
         }
-        self.candidate = Some(Candidate { seen: now, offset });
+        self.candidate = Some(Candidate { first_seen: now, offset });
         true
     }
 
@@ -143,23 +143,23 @@
 
     /// Whether a candidate is so recent that the other machines' times may still follow it.
     pub fn is_candidate_recent(&self, now: Micros) -> bool {
-        self.candidate.is_some_and(|candidate| now - candidate.seen <= CANDIDATE_WINDOW)
+        self.candidate.is_some_and(|candidate| now - candidate.first_seen <= CANDIDATE_WINDOW)
     }
 
     /// Puts the candidate in force: a db host has reported a time that only the candidate explains.
     pub fn confirm_candidate(&mut self) {
-        let Some(Candidate { seen, offset }) = self.candidate.take() else { return };
+        let Some(Candidate { first_seen, offset }) = self.candidate.take() else { return };
         if self.segments.len() == MAX_SEGMENTS {
             self.segments.remove(0);
         }
-        self.segments.push(Segment { from: seen, offset });
+        self.segments.push(Segment { from: first_seen, offset });
     }
 
     /// Converts a Unix time in milliseconds, such as the start of a db host or the commit of a session, to
     /// the latest moment that it can mean, at most now. After a step back one Unix time can mean two moments.
     pub fn latest_at_unix_ms(&self, ms: f64) -> Micros {
         let (unix, now) = (unix_micros(ms), self.now());
-        let candidate = self.candidate.map(|c| Segment { from: c.seen, offset: c.offset });
+        let candidate = self.candidate.map(|c| Segment { from: c.first_seen, offset: c.offset });
         let segments: Vec<_> = self.segments.iter().copied().chain(candidate).collect();
         let ends = segments.iter().skip(1).map(|next| next.from).chain([now]);
         let moments = segments.iter().zip(ends).filter_map(|(segment, end)| {
--- a/crates/gradeshunt/src/clock/tests.rs
+++ b/crates/gradeshunt/src/clock/tests.rs
@@ -28,7 +28,7 @@
     assert!(!clock.observe_offset(HOUR + STEP_TOLERANCE, 1), "two readings differ a little");
     assert!(clock.observe_offset(0, 2));
     assert!(!clock.observe_offset(10, 3), "the step is known");
-    assert_eq!((clock.offset(), clock.candidate().map(|c| c.seen)), (HOUR, Some(2)));
+    assert_eq!((clock.offset(), clock.candidate().map(|c| c.first_seen)), (HOUR, Some(2)));
     assert!(
         clock.is_candidate_recent(2 + CANDIDATE_WINDOW) && !clock.is_candidate_recent(3 + CANDIDATE_WINDOW)
     );
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -57,7 +57,7 @@
     /// Db hosts listed with a start time before primaries had shown the clock offset: it may have been read
     /// wrongly.
     unconfirmed: BTreeMap<MemberId, Entry>,
-    next: u32,
+    next_member: u32,
     generation: u64,
 }
 
@@ -68,7 +68,7 @@
             numbers: HashMap::new(),
             starts: HashMap::new(),
             unconfirmed: BTreeMap::new(),
-            next: 0,
+            next_member: 0,
             generation: 0,
         }
     }
@@ -208,9 +208,9 @@
         let group = GroupId(v.get("cell").and_then(Value::as_u64).ok_or("an instance without cell")?);
         let zone = text("zone")?;
         // Only a readable entry gets a number: a malformed name would keep its number for ever.
-        let fresh = MemberId(self.next);
+        let fresh = MemberId(self.next_member);
         let member = *self.numbers.entry(id.to_owned()).or_insert(fresh);
-        self.next += u32::from(member == fresh);
+        self.next_member += u32::from(member == fresh);
         let since = v.get("startedAtMs").and_then(Value::as_f64).filter(|ms| *ms > 0.0);
         let entry = Entry {
             member,
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -66,7 +66,7 @@
 /// The client of discovery.
 pub struct Discovery {
     addr: SocketAddr,
-    silence: Micros,
+    max_silence: Micros,
     policy: WatchPolicy,
     /// When a watch is to be reopened, if one is.
     reopen_at: Option<Micros>,
@@ -78,11 +78,11 @@
 }
 
 impl Discovery {
-    pub fn new(addr: SocketAddr, silence: Micros, names: Names, policy: WatchPolicy) -> Self {
+    pub fn new(addr: SocketAddr, max_silence: Micros, names: Names, policy: WatchPolicy) -> Self {
         let reader = ListReader::new(names);
         Discovery {
             addr,
-            silence,
+            max_silence,
             policy,
             reopen_at: None,
             reader,
@@ -165,10 +165,10 @@
         &mut self,
         turn: &mut Turn,
         addr: SocketAddr,
-        silence: Micros,
+        max_silence: Micros,
         updates: &mut Vec<ListUpdate>,
     ) {
-        self.silence = silence;
+        self.max_silence = max_silence;
         if std::mem::replace(&mut self.addr, addr) == addr {
             return;
         }
@@ -190,7 +190,7 @@
         if !outbound.push(request.as_bytes()) {
             return Err(io::ErrorKind::OutOfMemory.into());
         }
-        let due = turn.now + self.silence;
+        let due = turn.now + self.max_silence;
         turn.deadlines.set(due, Due::Call(id));
         let inbound = Ring::default();
         let answer = AnswerParser::new(ask == Ask::Watch);
@@ -273,7 +273,7 @@
         }
         if completed.has_any {
             turn.deadlines.clear(call.due, Due::Call(id));
-            call.due = turn.now + self.silence;
+            call.due = turn.now + self.max_silence;
             turn.deadlines.set(call.due, Due::Call(id));
         }
         Ok(())
--- a/crates/gradeshunt/src/loop_stats.rs
+++ b/crates/gradeshunt/src/loop_stats.rs
@@ -55,9 +55,9 @@
 /// Statistics of the turns.
 pub struct LoopStats {
     proc_stats: ProcStats,
-    sampled: (Micros, Sample),
-    start: Micros,
-    last: Micros,
+    last_sample: (Micros, Sample),
+    turn_start: Micros,
+    last_event: Micros,
     late: Micros,
     /// How long the previous turn took.
     previous_took: Micros,
@@ -73,10 +73,10 @@
     pub fn new(now: Micros) -> Self {
         let proc_stats = ProcStats::open();
         LoopStats {
-            sampled: (now, proc_stats.sample()),
+            last_sample: (now, proc_stats.sample()),
             proc_stats,
-            start: now,
-            last: now,
+            turn_start: now,
+            last_event: now,
             late: 0,
             previous_took: 0,
             spent: BTreeMap::new(),
@@ -91,11 +91,11 @@
     /// Begins a turn, which should have begun by `until` if there was a deadline.
     pub fn begin(&mut self, now: Micros, until: Option<Micros>) {
         // What fell due during the previous turn is that turn's lateness.
-        self.late = until.map_or(0, |at| (now - at.max(self.last)).max(0));
-        self.previous_took = self.last - self.start;
-        (self.start, self.last) = (now, now);
-        if now - self.sampled.0 > SAMPLE_AGE {
-            self.sampled = (now, self.proc_stats.sample());
+        self.late = until.map_or(0, |at| (now - at.max(self.last_event)).max(0));
+        self.previous_took = self.last_event - self.turn_start;
+        (self.turn_start, self.last_event) = (now, now);
+        if now - self.last_sample.0 > SAMPLE_AGE {
+            self.last_sample = (now, self.proc_stats.sample());
         }
     }
 
@@ -108,9 +108,9 @@
     /// Records that an event of this source, or a deadline, has been handled.
     pub fn record_source(&mut self, name: &'static str, now: Micros) {
         let (took, times) = self.spent.entry(name).or_default();
-        *took += now - self.last;
+        *took += now - self.last_event;
         *times += 1;
-        self.last = now;
+        self.last_event = now;
     }
 
     /// Ends the turn, and logs it if it was long or late.
@@ -120,8 +120,8 @@
             return;
         }
         let now = self.proc_stats.sample();
-        let since = now.since(self.sampled.1);
-        self.sampled = (self.last, now);
+        let since = now.since(self.last_sample.1);
+        self.last_sample = (self.last_event, now);
         let parts: Vec<_> =
             turn.parts.iter().map(|(name, took, n)| format!("{name}={}ms/{n}", took / 1000)).collect();
         let what = if turn.took > SLOW_TURN { "a turn took long" } else { "the loop woke late" };
@@ -131,7 +131,7 @@
     }
 
     fn record_turn(&mut self) -> TurnRecord {
-        let took = self.last - self.start;
+        let took = self.last_event - self.turn_start;
         let mut parts: Vec<_> =
             std::mem::take(&mut self.spent).into_iter().map(|(name, (t, n))| (name, t, n)).collect();
         parts.sort_by_key(|(_, took, _)| std::cmp::Reverse(*took));
--- a/crates/gradeshunt/src/shared/mod.rs
+++ b/crates/gradeshunt/src/shared/mod.rs
@@ -245,8 +245,8 @@
         }
     }
 
-    /// Holds a db host out or readmits it for an operator; [`Change::HoldOutStored`] follows. Returns false if too
-    /// much is under way.
+    /// Holds a db host out or readmits it for an operator; [`Change::HoldOutStored`] follows. Returns false
+    /// if too much is under way.
     #[must_use]
     pub fn hold_out(&mut self, caller: CallerId, id: &str, out: bool) -> bool {
         let room = self.hold_outs.len() + self.hold_outs_running < MAX_HOLD_OUTS;
