--- a/crates/gradeshunt/src/control_core.rs
+++ b/crates/gradeshunt/src/control_core.rs
@@ -14,7 +14,7 @@
 use crate::discovery::{self, Discovery, ListUpdate};
 use crate::exchange::{Answer, BackendCommand, Exchange};
 use crate::loop_stats::LoopStats;
-use crate::placing::Placing;
+use crate::placing::PlacementRouter;
 use crate::turn::{EventSource, ReadySources, Turn};
 
 /// The control part of a proxy.
@@ -86,7 +86,8 @@
         };
         let tenants = config.tenants();
         let connect_timeout = facts.connections.connect_timeout;
-        let placing = config.placement.take().map(|placement| Placing::new(placement, connect_timeout));
+        let placing =
+            config.placement.take().map(|placement| PlacementRouter::new(placement, connect_timeout));
         let mut settings = facts.settings.clone();
         let placing = placing.map(|placing| placing.divide_budgets(&mut settings));
         let mut exchange = Exchange::new(settings, tenants, config.seed, turn.now);
--- a/crates/gradeshunt/src/discovery/list.rs
+++ b/crates/gradeshunt/src/discovery/list.rs
@@ -40,35 +40,35 @@
 
 /// When a db host started, in Unix time and on the proxy's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Start {
+struct StartTime {
     unix_ms: f64,
     at: Micros,
 }
 
 /// Reads lists in discovery's format, and numbers db hosts in the order in which they appear.
-pub struct Reader {
+pub struct ListReader {
     names: Names,
     /// The db hosts that are listed now. One that is removed loses its number, and gets a new one if it
     /// returns.
     numbers: HashMap<String, MemberId>,
     /// Their latest start times, as reported and on the proxy's clock. The wall clock may have been stepped
     /// since: a start time that is reported again unchanged is not another start.
-    starts: HashMap<MemberId, Start>,
+    starts: HashMap<MemberId, StartTime>,
     /// Db hosts listed with a start time before primaries had shown the clock offset: it may have been read
     /// wrongly.
     unconfirmed: BTreeMap<MemberId, Entry>,
-    next: u32,
+    next_member: u32,
     generation: u64,
 }
 
-impl Reader {
+impl ListReader {
     pub fn new(names: Names) -> Self {
-        Reader {
+        ListReader {
             names,
             numbers: HashMap::new(),
             starts: HashMap::new(),
             unconfirmed: BTreeMap::new(),
-            next: 0,
+            next_member: 0,
             generation: 0,
         }
     }
@@ -178,7 +178,7 @@
     fn start_time(&mut self, clock: &Clock, member: MemberId, unix_ms: f64) -> Micros {
         let known = self.starts.get(&member).filter(|start| start.unix_ms == unix_ms);
         let at = known.map_or_else(|| clock.latest_at_unix_ms(unix_ms), |start| start.at);
-        self.starts.insert(member, Start { unix_ms, at });
+        self.starts.insert(member, StartTime { unix_ms, at });
         at
     }
 
@@ -208,9 +208,9 @@
         let group = GroupId(v.get("cell").and_then(Value::as_u64).ok_or("an instance without cell")?);
         let zone = text("zone")?;
         // Only a readable entry gets a number: a malformed name would keep its number for ever.
-        let fresh = MemberId(self.next);
+        let fresh = MemberId(self.next_member);
         let member = *self.numbers.entry(id.to_owned()).or_insert(fresh);
-        self.next += u32::from(member == fresh);
+        self.next_member += u32::from(member == fresh);
         let since = v.get("startedAtMs").and_then(Value::as_f64).filter(|ms| *ms > 0.0);
         let entry = Entry {
             member,
--- a/crates/gradeshunt/src/discovery/mod.rs
+++ b/crates/gradeshunt/src/discovery/mod.rs
@@ -12,9 +12,9 @@
 use serde_json::Value;
 use slog::{info, warn};
 
-use self::answer::Answer;
+use self::answer::AnswerParser;
+use self::list::ListReader;
 pub use self::list::ListUpdate;
-use self::list::Reader;
 use crate::clock::Clock;
 use crate::deadlines::DeadlineKind;
 use crate::exchange::DiscoveryCall;
@@ -55,7 +55,7 @@
     polled: Polled,
     inbound: Ring,
     outbound: Ring,
-    answer: Answer,
+    answer: AnswerParser,
     /// The version of the list after which this call asked for changes.
     since_version: u64,
     /// Time by which something must be complete: the head, a line, the list. Bytes alone don't extend it: a
@@ -66,11 +66,11 @@
 /// The client of discovery.
 pub struct Discovery {
     addr: SocketAddr,
-    silence: Micros,
+    max_silence: Micros,
     policy: WatchPolicy,
     /// When a watch is to be reopened, if one is.
     reopen_at: Option<Micros>,
-    reader: Reader,
+    reader: ListReader,
     /// Whether discovery has delivered a list.
     has_list: bool,
     calls: BTreeMap<CallId, Call>,
@@ -78,11 +78,11 @@
 }
 
 impl Discovery {
-    pub fn new(addr: SocketAddr, silence: Micros, names: Names, policy: WatchPolicy) -> Self {
-        let reader = Reader::new(names);
+    pub fn new(addr: SocketAddr, max_silence: Micros, names: Names, policy: WatchPolicy) -> Self {
+        let reader = ListReader::new(names);
         Discovery {
             addr,
-            silence,
+            max_silence,
             policy,
             reopen_at: None,
             reader,
@@ -115,8 +115,8 @@
 
     /// Reads the list in the configuration, which may be outdated.
     pub fn read_known(&mut self, clock: &Clock, known: &Value) -> Result<ListUpdate, String> {
-        let updates = self.reader.read_list(clock, &known.to_string(), 0)?;
-        Ok(ListUpdate { kind: ListKind::Saved, ..updates })
+        let update = self.reader.read_list(clock, &known.to_string(), 0)?;
+        Ok(ListUpdate { kind: ListKind::Saved, ..update })
     }
 
     /// Returns db hosts whose start times were read wrongly before primaries had shown the clock offset.
@@ -173,10 +173,10 @@
         &mut self,
         turn: &mut Turn,
         addr: SocketAddr,
-        silence: Micros,
+        max_silence: Micros,
         updates: &mut Vec<ListUpdate>,
     ) {
-        self.silence = silence;
+        self.max_silence = max_silence;
         if std::mem::replace(&mut self.addr, addr) == addr {
             return;
         }
@@ -198,10 +198,10 @@
         if !outbound.push(request.as_bytes()) {
             return Err(io::ErrorKind::OutOfMemory.into());
         }
-        let due = turn.now + self.silence;
+        let due = turn.now + self.max_silence;
         turn.deadlines.set(due, DeadlineKind::Call(id));
         let inbound = Ring::default();
-        let answer = Answer::new(ask == DiscoveryCall::Watch);
+        let answer = AnswerParser::new(ask == DiscoveryCall::Watch);
         let since_version = self.reader.generation();
         let call = Call { ask, is_former: false, polled, inbound, outbound, answer, since_version, due };
         self.calls.insert(id, call);
@@ -210,8 +210,8 @@
 
     pub fn call_due(&mut self, turn: &mut Turn, id: CallId, updates: &mut Vec<ListUpdate>) {
         let Some(call) = self.calls.get(&id).filter(|c| c.due <= turn.now) else { return };
-        // Discovery may be available even if this watch never delivered anything. Another watch is opened
-        // before the time runs out after which its news counts as known.
+        // Discovery may be available even if this watch never delivered anything. Another watch is opened in
+        // time, before the proxy counts as informed of what this one misses.
         if call.ask == DiscoveryCall::Watch && !call.is_former && self.policy.pushed.is_none() {
             warn!(turn.log, "watch has fallen silent, opening another");
             self.end(turn, id);
@@ -283,7 +283,7 @@
         }
         if completed.has_any {
             turn.deadlines.clear(call.due, DeadlineKind::Call(id));
-            call.due = turn.now + self.silence;
+            call.due = turn.now + self.max_silence;
             turn.deadlines.set(call.due, DeadlineKind::Call(id));
         }
         Ok(())
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -11,7 +11,7 @@
 use super::request::Request;
 use super::tally::SummaryCounts;
 use crate::figures::{Metrics, OutcomeCounts, TenantCount};
-use crate::placing::Placing;
+use crate::placing::PlacementRouter;
 use crate::site_loss;
 
 /// Tracks requests and attempts, and carries out the balancer's decisions.
@@ -33,7 +33,7 @@
     /// actions.
     pub sites: Option<Sites>,
     /// Decides which requests go to other proxies, where operators have a placement file.
-    pub placing: Option<Placing>,
+    pub placing: Option<PlacementRouter>,
     /// The longest time that an answer takes from one proxy to another.
     pub(super) forward_time: Micros,
     /// Indexed by class.
--- a/crates/gradeshunt/src/proxy/operators.rs
+++ b/crates/gradeshunt/src/proxy/operators.rs
@@ -5,7 +5,7 @@
 use super::Proxy;
 use crate::control::{self, Response};
 use crate::ids::CallerId;
-use crate::placing::Placing;
+use crate::placing::PlacementRouter;
 
 impl Proxy {
     /// Reads an operator's connection and carries out its command.
@@ -37,7 +37,7 @@
                 let mut metrics = exchange.figures();
                 metrics.closes = self.frontend.close_counts.clone();
                 let text = control::exposition(&metrics, &self.classes, &self.tenants);
-                let placement = exchange.placing.as_ref().map(Placing::metrics).unwrap_or_default();
+                let placement = exchange.placing.as_ref().map(PlacementRouter::metrics).unwrap_or_default();
                 Response::new(200, text + &placement)
             }
             control::Command::Shapes => match self.frontend.exposition() {
