--- a/crates/gradeshunt/src/exchange/request.rs
+++ b/crates/gradeshunt/src/exchange/request.rs
@@ -35,7 +35,7 @@
     pub(super) effect: Effect,
     pub(super) group: GroupId,
     pub(super) tenant_id: Option<TenantId>,
-    /// Index in [`Figures::tenants`](crate::figures::Figures::tenants).
+    /// Index in [`Metrics::tenants`](crate::figures::Metrics::tenants).
     pub(super) tenant_index: usize,
     /// Whether the request exceeds its tenant's share.
     pub(super) exceeds_share: bool,
--- a/crates/gradeshunt/src/exchange/state.rs
+++ b/crates/gradeshunt/src/exchange/state.rs
@@ -27,7 +27,7 @@
     pub(super) actions: Vec<Action>,
     pub(super) summary_counts: SummaryCounts,
     pub(super) figures: Metrics,
-    /// Names of the tenants, in the order of [`Figures::tenants`]; empty where the settings name none.
+    /// Names of the tenants, in the order of [`Metrics::tenants`]; empty where the settings name none.
     pub(super) tenants: Vec<String>,
     /// The operators' plan for the loss of a site, if there is one. `crate::proxy::sites` carries out its
     /// actions.
--- a/crates/gradeshunt/src/frontend.rs
+++ b/crates/gradeshunt/src/frontend.rs
@@ -32,8 +32,8 @@
 /// unread, so that the output ring always has room for one more answer.
 const MAX_UNREAD_BYTES: usize = MAX_RING_SIZE - MAX_BUFFERED_ANSWER - 1024;
 // A final answer always fits into the output ring behind the bytes that the client has not read yet. Those
-// are at most `MAX_UNREAD_BYTES` when a request starts; of a streamed result, at most `ROOM` and one whole
-// row are buffered.
+// are at most `MAX_UNREAD_BYTES` when a request starts; of a streamed result, at most `ANSWER_BUFFER_SIZE`
+// bytes and one whole row are buffered.
 const _: () = assert!(
     MAX_UNREAD_BYTES + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
         && ANSWER_BUFFER_SIZE + MAX_BUFFERED_ROW + MAX_BUFFERED_ANSWER < MAX_RING_SIZE
